--- a/examples/embedded-routing.ts
+++ b/examples/embedded-routing.ts
@@ -66,7 +66,7 @@
       deadlineMs: 100,
       waitMs: 20,
       remainingMs: EXPECTED_MS,
-      confidence: 0.95,
+      requiredShare: 0.95,
     }).isReachable,
     shares: computeShares(100, [
       {instance: 'a', amount: 10},
--- a/packages/admission/src/adaptive-limit.ts
+++ b/packages/admission/src/adaptive-limit.ts
@@ -8,9 +8,9 @@
 /** What the last interval showed. */
 export interface LimitSample {
   /** Whether work waited for a place of this limit. */
-  readonly wasFull: boolean;
+  readonly hadWaitingWork: boolean;
   /** Requests that the upstreams report as queued, for each one they can work on; 0 where none reports. */
-  readonly reportedQueue: number;
+  readonly queuedPerSlot: number;
   /** Whether upstreams refused work as overloaded. */
   readonly wasRefused: boolean;
 }
@@ -54,10 +54,10 @@
   /** Takes one interval's sample in. */
   applySample(sample: LimitSample): void {
     const {min, max} = this.options;
-    const isQueueing = sample.reportedQueue > LONG_QUEUE;
+    const isQueueing = sample.queuedPerSlot > LONG_QUEUE;
     if (isQueueing || sample.wasRefused) {
       this.value = Math.max(min, this.value * DECREASE);
-    } else if (sample.wasFull) {
+    } else if (sample.hadWaitingWork) {
       const step = Math.max(1, this.value * 0.05);
       this.value = Math.min(max, this.value + step);
     }
--- a/packages/admission/src/deadline.ts
+++ b/packages/admission/src/deadline.ts
@@ -8,7 +8,7 @@
   /** Predicted milliseconds of the stage at hand and those behind it. */
   readonly remainingMs: number;
   /** Share of the prediction that has to fit; under 1 gives the benefit of the doubt. */
-  readonly confidence: number;
+  readonly requiredShare: number;
 }
 
 /** Whether to go on, and the figures it rests on. */
@@ -29,7 +29,7 @@
 /** Judges whether a request can still be answered in its deadline. */
 export function judgeDeadline(input: DeadlineInput): DeadlineVerdict {
   const leftMs = input.deadlineMs - input.nowMs;
-  const neededMs = (input.waitMs + input.remainingMs) * input.confidence;
+  const neededMs = (input.waitMs + input.remainingMs) * input.requiredShare;
   return {
     isReachable: leftMs > 0 && neededMs <= leftMs,
     leftMs,
--- a/packages/admission/src/decisions.test.ts
+++ b/packages/admission/src/decisions.test.ts
@@ -57,7 +57,11 @@
   const values: number[] = [];
   const samples = [0, 0, 0, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0, 0];
   for (const reportedQueue of samples) {
-    limit.applySample({wasFull: true, reportedQueue, wasRefused: false});
+    limit.applySample({
+      hadWaitingWork: true,
+      queuedPerSlot: reportedQueue,
+      wasRefused: false,
+    });
     values.push(limit.getLimit());
   }
   t.assert.snapshot(values);
@@ -89,9 +93,9 @@
 test('a request is refused where even the hoped for part of its time does not fit', t => {
   const input = {nowMs: 0, deadlineMs: 100, waitMs: 40, remainingMs: 80};
   t.assert.snapshot([
-    judgeDeadline({...input, confidence: 0.7}),
-    judgeDeadline({...input, confidence: 0.95}),
-    judgeDeadline({...input, nowMs: 100, confidence: 0}),
+    judgeDeadline({...input, requiredShare: 0.7}),
+    judgeDeadline({...input, requiredShare: 0.95}),
+    judgeDeadline({...input, nowMs: 100, requiredShare: 0}),
   ]);
 });
 
--- a/packages/admission/src/index.ts
+++ b/packages/admission/src/index.ts
@@ -3,7 +3,7 @@
   chooseNextWaiting,
   DEFAULT_QUEUE_POLICY,
   type InServiceCount,
-  type PlaceLimits,
+  type SlotLimits,
   type QueuePolicy,
   type WaitingWork,
 } from './stage-queue.ts';
@@ -19,7 +19,7 @@
 } from './deadline.ts';
 export {DurationEstimator} from './duration-estimator.ts';
 export {RetryBudget} from './retry-budget.ts';
-export {computeShares, type Demand, type Share} from './shares.ts';
+export {computeShares, type LimitDemand, type LimitShare} from './shares.ts';
 export {
   judgeRetry,
   type RetryInput,
--- a/packages/admission/src/shares.ts
+++ b/packages/admission/src/shares.ts
@@ -1,11 +1,11 @@
 /** What one instance would use of a workspace's limit. */
-export interface Demand {
+export interface LimitDemand {
   readonly instance: string;
   readonly amount: number;
 }
 
 /** What one instance may use of it. */
-export interface Share {
+export interface LimitShare {
   readonly instance: string;
   readonly amount: number;
 }
@@ -17,8 +17,8 @@
  */
 export function computeShares(
   limit: number,
-  demands: readonly Demand[],
-): Share[] {
+  demands: readonly LimitDemand[],
+): LimitShare[] {
   const ascending = [...demands].sort(
     (left, right) => left.amount - right.amount,
   );
--- a/packages/admission/src/stage-queue.ts
+++ b/packages/admission/src/stage-queue.ts
@@ -16,7 +16,7 @@
 }
 
 /** How many places there are. */
-export interface PlaceLimits {
+export interface SlotLimits {
   /** Places now, as the adaptive limit has it. */
   readonly limit: number;
   /** Places that the limit began with. */
@@ -26,18 +26,18 @@
 /** How places are given out. */
 export interface QueuePolicy {
   /** Work with a priority number up to this one is urgent. */
-  readonly reservedPriority: number;
+  readonly maxUrgentPriority: number;
   /** Factor on the initial places for urgent work: upstreams order it before the rest. */
   readonly urgentFactor: number;
   /** Share of the places that other work may use, 0 to 1. */
-  readonly openShare: number;
+  readonly unreservedShare: number;
 }
 
 /** The policy that the daemon uses. */
 export const DEFAULT_QUEUE_POLICY: QueuePolicy = {
-  reservedPriority: 2,
+  maxUrgentPriority: 2,
   urgentFactor: 3,
-  openShare: 0.85,
+  unreservedShare: 0.85,
 };
 
 /**
@@ -50,17 +50,17 @@
 export function chooseNextWaiting(
   waiting: readonly WaitingWork[],
   inService: InServiceCount,
-  limits: PlaceLimits,
+  limits: SlotLimits,
   policy: QueuePolicy,
 ): number {
   const {limit} = limits;
   const urgentLimit = Math.max(limit, limits.initial * policy.urgentFactor);
   if (inService.total >= urgentLimit) return -1;
-  const openLimit = Math.max(1, Math.floor(limit * policy.openShare));
+  const openLimit = Math.max(1, Math.floor(limit * policy.unreservedShare));
   let best = -1;
   for (let index = 0; index < waiting.length; index++) {
     const work = waiting[index];
-    const isReserved = work.priority <= policy.reservedPriority;
+    const isReserved = work.priority <= policy.maxUrgentPriority;
     if (!isReserved && inService.total >= openLimit) continue;
     if (best < 0 || isBefore(work, waiting[best], inService)) best = index;
   }
--- a/packages/assignment/src/assignment-plan.test.ts
+++ b/packages/assignment/src/assignment-plan.test.ts
@@ -1,33 +1,33 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {
-  PromptCache,
+  PromptCacheModel,
   chooseEngine,
   type AssignmentInput,
-  type EngineView,
+  type EngineCandidate,
 } from './index.ts';
 
 function createEngine(
   id: string,
-  changes: Partial<EngineView> = {},
-): EngineView {
+  changes: Partial<EngineCandidate> = {},
+): EngineCandidate {
   return {
     id,
     failureDomain: 'a',
     backlogTokens: 0,
     activeCount: 0,
     capacity: 64,
-    holdMs: undefined,
-    keptTokens: 0,
+    slotOccupancyMs: undefined,
+    cachedTokens: 0,
     slowness: 1,
     isCold: false,
-    homeRank: 0,
+    affinityRank: 0,
     ...changes,
   };
 }
 
 function createInput(
-  engines: readonly EngineView[],
+  engines: readonly EngineCandidate[],
   changes: Partial<AssignmentInput> = {},
 ): AssignmentInput {
   return {
@@ -42,7 +42,7 @@
 
 test('an engine that keeps the shared part is worth a short wait', () => {
   const engines = [
-    createEngine('keeps', {keptTokens: 13_000, backlogTokens: 12_000}),
+    createEngine('keeps', {cachedTokens: 13_000, backlogTokens: 12_000}),
     createEngine('idle'),
   ];
   assert.equal(chooseEngine(createInput(engines))?.id, 'keeps');
@@ -50,7 +50,7 @@
 
 test('a long backlog is worth reading the shared part again', () => {
   const engines = [
-    createEngine('keeps', {keptTokens: 13_000, backlogTokens: 60_000}),
+    createEngine('keeps', {cachedTokens: 13_000, backlogTokens: 60_000}),
     createEngine('idle'),
   ];
   assert.equal(chooseEngine(createInput(engines))?.id, 'idle');
@@ -58,8 +58,8 @@
 
 test('where nobody keeps it, the home of the prompt is chosen', () => {
   const engines = [
-    createEngine('second', {homeRank: 1}),
-    createEngine('home', {homeRank: 0}),
+    createEngine('second', {affinityRank: 1}),
+    createEngine('home', {affinityRank: 0}),
   ];
   assert.equal(chooseEngine(createInput(engines))?.id, 'home');
 });
@@ -87,13 +87,13 @@
 });
 
 test('a kept part counts only where all parts before it are kept', () => {
-  const cache = new PromptCache(1000);
+  const cache = new PromptCacheModel(1000);
   cache.recordPrompt([
     {id: 'a', tokens: 100},
     {id: 'b', tokens: 200},
   ]);
   assert.equal(
-    cache.countKeptTokens([
+    cache.countCachedTokens([
       {id: 'a', tokens: 100},
       {id: 'b', tokens: 200},
       {id: 'c', tokens: 5},
@@ -104,24 +104,24 @@
     {id: 'x', tokens: 50},
     {id: 'b', tokens: 200},
   ];
-  assert.equal(cache.countKeptTokens(behindUnkept), 0);
-  assert.equal(cache.countKeptTokens([{id: 'b', tokens: 200}]), 200);
+  assert.equal(cache.countCachedTokens(behindUnkept), 0);
+  assert.equal(cache.countCachedTokens([{id: 'b', tokens: 200}]), 200);
 });
 
 test('parts unused longest give way', () => {
-  const cache = new PromptCache(250);
+  const cache = new PromptCacheModel(250);
   cache.recordPrompt([{id: 'a', tokens: 100}]);
   cache.recordPrompt([{id: 'b', tokens: 100}]);
   cache.recordPrompt([{id: 'a', tokens: 100}]);
   cache.recordPrompt([{id: 'c', tokens: 100}]);
-  assert.equal(cache.countKeptTokens([{id: 'a', tokens: 100}]), 100);
-  assert.equal(cache.countKeptTokens([{id: 'b', tokens: 100}]), 0);
+  assert.equal(cache.countCachedTokens([{id: 'a', tokens: 100}]), 100);
+  assert.equal(cache.countCachedTokens([{id: 'b', tokens: 100}]), 0);
 });
 
 test('a prompt with time to spare waits for the engine that keeps its shared part', () => {
   // 250 ms behind others at its home; 80 ms of reading again elsewhere.
   const engines = [
-    createEngine('keeps', {keptTokens: 5_400, backlogTokens: 16_500}),
+    createEngine('keeps', {cachedTokens: 5_400, backlogTokens: 16_500}),
     createEngine('idle'),
   ];
   const choose = (dueInMs: number | undefined) =>
@@ -140,7 +140,7 @@
 
 test('of prompts of 100 to 50,000 tokens, the one without time to spare gets the idle engine', () => {
   const engines = [
-    createEngine('keeps', {keptTokens: 5_400, backlogTokens: 20_000}),
+    createEngine('keeps', {cachedTokens: 5_400, backlogTokens: 20_000}),
     createEngine('idle'),
   ];
   for (const [ownTokens, id] of [
@@ -164,12 +164,12 @@
       createInput(
         [
           createEngine('keeps', {
-            keptTokens: 5_400,
+            cachedTokens: 5_400,
             activeCount,
             capacity: 12,
-            holdMs: 1_800,
+            slotOccupancyMs: 1_800,
           }),
-          createEngine('idle', {capacity: 12, holdMs: 1_800}),
+          createEngine('idle', {capacity: 12, slotOccupancyMs: 1_800}),
         ],
         {promptTokens: 6_000, sharedTokens: 5_400, dueInMs: 900},
       ),
--- a/packages/assignment/src/engine-choice.ts
+++ b/packages/assignment/src/engine-choice.ts
@@ -1,5 +1,5 @@
 /** An engine as the choice sees it. */
-export interface EngineView {
+export interface EngineCandidate {
   readonly id: string;
   readonly failureDomain: string;
   /** Tokens of prompts that are assigned to it and not read yet. */
@@ -9,20 +9,20 @@
   /** Requests that it works on at a time. */
   readonly capacity: number;
   /** Milliseconds for which a request occupies one of its slots, where it was learnt. */
-  readonly holdMs: number | undefined;
+  readonly slotOccupancyMs: number | undefined;
   /** Tokens of this prompt, from its beginning, that it keeps. */
-  readonly keptTokens: number;
+  readonly cachedTokens: number;
   /** How long work takes there over what it takes elsewhere. */
   readonly slowness: number;
   /** Whether it has started a short time ago and bears little yet. */
   readonly isCold: boolean;
   /** Place of the engine in the ranking of this prompt; 0 for its home. */
-  readonly homeRank: number;
+  readonly affinityRank: number;
 }
 
 /** What a choice is made from. */
 export interface AssignmentInput {
-  readonly engines: readonly EngineView[];
+  readonly engines: readonly EngineCandidate[];
   readonly promptTokens: number;
   /** Tokens of the prompt that other requests share. */
   readonly sharedTokens: number;
@@ -86,7 +86,7 @@
 export function chooseEngine(
   input: AssignmentInput,
 ): AssignmentChoice | undefined {
-  const mostKept = Math.max(0, ...input.engines.map(each => each.keptTokens));
+  const mostKept = Math.max(0, ...input.engines.map(each => each.cachedTokens));
   let best: AssignmentChoice | undefined;
   for (const engine of input.engines) {
     const choice = computeChoice(engine, input, mostKept);
@@ -96,17 +96,17 @@
 }
 
 function computeChoice(
-  engine: EngineView,
+  engine: EngineCandidate,
   input: AssignmentInput,
   mostKept: number,
 ): AssignmentChoice {
-  const unread = Math.max(0, input.promptTokens - engine.keptTokens);
+  const unread = Math.max(0, input.promptTokens - engine.cachedTokens);
   const readMs = (engine.backlogTokens + unread) / input.tokensPerMs;
   const predictedMs =
     (readMs + engine.activeCount * ACTIVE_MS) * engine.slowness +
     computeSlotWaitMs(engine);
   const rereadTokens = Math.min(
-    Math.max(0, mostKept - engine.keptTokens),
+    Math.max(0, mostKept - engine.cachedTokens),
     input.sharedTokens,
   );
   const costMs =
@@ -114,7 +114,7 @@
     rereadTokens * REREAD_MS_PER_TOKEN +
     countCrossingBytes(engine.failureDomain, input) * CROSSING_MS_PER_BYTE +
     (engine.isCold ? COLD_MS : 0) +
-    engine.homeRank * input.sharedTokens * RANK_MS_PER_SHARED_TOKEN;
+    engine.affinityRank * input.sharedTokens * RANK_MS_PER_SHARED_TOKEN;
   return {
     id: engine.id,
     failureDomain: engine.failureDomain,
@@ -128,12 +128,13 @@
 function computeSlotWaitMs({
   activeCount,
   capacity,
-  holdMs,
-}: EngineView): number {
+  slotOccupancyMs,
+}: EngineCandidate): number {
   const queuedCount = activeCount - capacity;
   if (queuedCount < 0) return 0;
-  if (queuedCount >= MAX_QUEUED || holdMs === undefined) return FULL_MS;
-  return Math.min(FULL_MS, ((queuedCount + 1) * holdMs) / capacity);
+  if (queuedCount >= MAX_QUEUED || slotOccupancyMs === undefined)
+    return FULL_MS;
+  return Math.min(FULL_MS, ((queuedCount + 1) * slotOccupancyMs) / capacity);
 }
 
 // A request that has time to spare waits at the engine that keeps its prompt, and one
--- a/packages/assignment/src/engine-directory.ts
+++ b/packages/assignment/src/engine-directory.ts
@@ -1,6 +1,6 @@
 import {
   getColdUntilMs,
-  isTakingWork,
+  isAcceptingWork,
   type RegisteredUpstream,
   type RouteTable,
   type WarmUp,
@@ -24,10 +24,10 @@
 import {
   chooseEngine,
   type AssignmentChoice,
-  type EngineView,
-} from './assignment-plan.ts';
-import {PromptCache} from './prompt-cache.ts';
-import {ReadingSpeed} from './reading-speed.ts';
+  type EngineCandidate,
+} from './engine-choice.ts';
+import {PromptCacheModel} from './prompt-cache-model.ts';
+import {PrefillSpeed} from './prefill-speed.ts';
 
 interface AssignedRequest {
   readonly engine: Engine;
@@ -43,7 +43,7 @@
 
 interface Engine {
   record: RegisteredUpstream;
-  readonly cache: PromptCache;
+  readonly cache: PromptCacheModel;
   health: HealthState;
   backlogTokens: number;
   activeCount: number;
@@ -82,7 +82,7 @@
   private readonly isLimited: (id: string) => boolean;
   private readonly engines = new Map<string, Engine>();
   private readonly assigned = new Map<string, AssignedRequest>();
-  private readonly readingSpeed = new ReadingSpeed();
+  private readonly readingSpeed = new PrefillSpeed();
   /** Milliseconds for which requests of a service occupy a slot. */
   private readonly holdMs = new Map<string, number>();
   private cacheTokens = new Map<string, number>();
@@ -132,7 +132,7 @@
   }
 
   /** Notes what an engine said that it keeps. */
-  recordKept(id: string, parts: readonly PromptPart[]): void {
+  recordCachedParts(id: string, parts: readonly PromptPart[]): void {
     this.engines.get(id)?.cache.recordPrompt(parts);
   }
 
@@ -154,7 +154,7 @@
     });
     if (!choice || !request.isFinal) return choice;
     const engine = this.engines.get(choice.id)!;
-    const kept = engine.cache.countKeptTokens(parts);
+    const kept = engine.cache.countCachedTokens(parts);
     const unreadTokens = Math.max(0, promptTokens - kept);
     this.endAssignment(request.requestId);
     this.assigned.set(request.requestId, {
@@ -239,7 +239,7 @@
     const {engine, predictedMs, unreadTokens, tokensAhead} = request;
     this.removeBacklog(request);
     if (firstMs === undefined) return;
-    this.readingSpeed.recordReading(
+    this.readingSpeed.recordPrefill(
       engine.record.service,
       tokensAhead + unreadTokens,
       firstMs,
@@ -276,13 +276,13 @@
   private listViews(
     request: AssignmentRequest,
     shared: readonly PromptPart[],
-  ): EngineView[] {
+  ): EngineCandidate[] {
     const nowMs = this.getNow();
     const excluded = new Set(request.excluded);
     const usable = [...this.engines.values()].filter(
       ({record, health}) =>
         record.service === request.service &&
-        isTakingWork(record) &&
+        isAcceptingWork(record) &&
         !excluded.has(record.id) &&
         isCandidate(health, nowMs),
     );
@@ -302,11 +302,11 @@
       backlogTokens: engine.backlogTokens,
       activeCount: engine.activeCount,
       capacity: engine.record.capacity,
-      holdMs: this.holdMs.get(request.service),
-      keptTokens: engine.cache.countKeptTokens(request.parts),
+      slotOccupancyMs: this.holdMs.get(request.service),
+      cachedTokens: engine.cache.countCachedTokens(request.parts),
       slowness: engine.slowness.getValue(nowMs),
       isCold: this.isCold(engine),
-      homeRank: ranks.get(engine.record.id)!,
+      affinityRank: ranks.get(engine.record.id)!,
     }));
   }
 
@@ -314,7 +314,7 @@
     const tokens = this.cacheTokens.get(record.service) ?? DEFAULT_CACHE_TOKENS;
     return {
       record,
-      cache: new PromptCache(tokens * CACHE_SHARE),
+      cache: new PromptCacheModel(tokens * CACHE_SHARE),
       health: createHealthyState(),
       backlogTokens: 0,
       activeCount: 0,
--- a/packages/assignment/src/index.ts
+++ b/packages/assignment/src/index.ts
@@ -3,7 +3,7 @@
   chooseEngine,
   type AssignmentChoice,
   type AssignmentInput,
-  type EngineView,
-} from './assignment-plan.ts';
+  type EngineCandidate,
+} from './engine-choice.ts';
 export {EngineDirectory} from './engine-directory.ts';
-export {PromptCache} from './prompt-cache.ts';
+export {PromptCacheModel} from './prompt-cache-model.ts';
--- a/packages/assignment/src/prefill-speed.ts
+++ b/packages/assignment/src/prefill-speed.ts
@@ -10,7 +10,7 @@
 const MAX_TOKENS_PER_MS = 2000;
 
 /** How fast the engines of each service read prompts, learnt from first events. */
-export class ReadingSpeed {
+export class PrefillSpeed {
   private readonly speeds = new Map<string, number>();
 
   /** Returns prompt tokens that a usual engine of the service reads in a millisecond. */
@@ -24,7 +24,7 @@
    * @param tokens Tokens that it had to read: the prompt's and those before it.
    * @param tookMs Milliseconds from the send to the first event.
    */
-  recordReading(service: string, tokens: number, tookMs: number): void {
+  recordPrefill(service: string, tokens: number, tookMs: number): void {
     if (tokens < MIN_TOKENS || tookMs <= 0) return;
     const sample = Math.min(
       MAX_TOKENS_PER_MS,
--- a/packages/assignment/src/prompt-cache-model.ts
+++ b/packages/assignment/src/prompt-cache-model.ts
@@ -4,7 +4,7 @@
  * A model of the prompt parts that an engine keeps: a part is of use only where
  * all parts before it are kept, and those unused longest give way.
  */
-export class PromptCache {
+export class PromptCacheModel {
   private readonly capacityTokens: number;
   /** Tokens by part id, the one unused longest first. */
   private readonly kept = new Map<string, number>();
@@ -15,7 +15,7 @@
   }
 
   /** Returns how many tokens of the prompt, from its beginning, are kept. */
-  countKeptTokens(parts: readonly PromptPart[]): number {
+  countCachedTokens(parts: readonly PromptPart[]): number {
     let tokens = 0;
     for (const part of parts) {
       if (!this.kept.has(part.id)) break;
--- a/packages/assignment/src/reading-speed.test.ts
+++ b/packages/assignment/src/reading-speed.test.ts
@@ -1,21 +1,21 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {ReadingSpeed} from './reading-speed.ts';
+import {PrefillSpeed} from './prefill-speed.ts';
 
 test('the reading speed of a service is learnt from long prompts, each service apart', () => {
-  const speed = new ReadingSpeed();
+  const speed = new PrefillSpeed();
   const before = speed.getTokensPerMs('a');
   for (let request = 0; request < 200; request++) {
-    speed.recordReading('a', 4000, 100);
-    speed.recordReading('a', 10, 90);
+    speed.recordPrefill('a', 4000, 100);
+    speed.recordPrefill('a', 10, 90);
   }
   assert.ok(Math.abs(speed.getTokensPerMs('a') - 40) < 0.1);
   assert.equal(speed.getTokensPerMs('b'), before);
 });
 
 test('one odd answer moves the speed by little', () => {
-  const speed = new ReadingSpeed();
+  const speed = new PrefillSpeed();
   const before = speed.getTokensPerMs('a');
-  speed.recordReading('a', 4000, 60_000);
+  speed.recordPrefill('a', 4000, 60_000);
   assert.ok(speed.getTokensPerMs('a') > 0.9 * before);
 });
--- a/packages/bench/src/html-report.ts
+++ b/packages/bench/src/html-report.ts
@@ -2,7 +2,7 @@
   isAttained,
   type PolicySummary,
   type RunResult,
-  type Spread,
+  type SeedStatistics,
 } from './results.ts';
 import type {Scenario} from './scenario.ts';
 import {renderBarChart, renderLineChart, type Line} from './svg-charts.ts';
@@ -88,7 +88,7 @@
   });
 }
 
-function formatSpread({mean, min, max}: Spread): string {
+function formatSpread({mean, min, max}: SeedStatistics): string {
   const [middle, least, most] = [mean, min, max].map(value =>
     (value * 100).toFixed(1),
   );
--- a/packages/bench/src/results.ts
+++ b/packages/bench/src/results.ts
@@ -33,7 +33,7 @@
 }
 
 /** A figure over several seeds. */
-export interface Spread {
+export interface SeedStatistics {
   readonly mean: number;
   readonly min: number;
   readonly max: number;
@@ -43,7 +43,7 @@
 export interface ClassSummary {
   readonly class: string;
   readonly priority: number;
-  readonly attainment: Spread;
+  readonly attainment: SeedStatistics;
   readonly p50Ms: number;
   readonly p95Ms: number;
   readonly p99Ms: number;
@@ -55,13 +55,13 @@
   readonly seeds: number;
   readonly requests: number;
   /** Share of requests answered whole in their deadline. */
-  readonly attainment: Spread;
+  readonly attainment: SeedStatistics;
   /** Requests a second answered whole in their deadline. */
-  readonly goodput: Spread;
+  readonly goodput: SeedStatistics;
   /** Share of upstream time that served nobody in time. */
-  readonly wasted: Spread;
+  readonly wasted: SeedStatistics;
   /** Upstream milliseconds for each request answered in time, by stage. */
-  readonly costs: ReadonlyArray<{stage: string; perAttainedMs: Spread}>;
+  readonly costs: ReadonlyArray<{stage: string; perAttainedMs: SeedStatistics}>;
   readonly classes: readonly ClassSummary[];
   /** Requests by outcome. */
   readonly outcomes: ReadonlyArray<{outcome: string; count: number}>;
@@ -120,7 +120,7 @@
 
 function computeCosts(
   runs: readonly RunResult[],
-): Array<{stage: string; perAttainedMs: Spread}> {
+): Array<{stage: string; perAttainedMs: SeedStatistics}> {
   const stages = runs[0].costs.map(({stage}) => stage);
   return stages.map(stage => ({
     stage,
@@ -173,7 +173,7 @@
     .sort((left, right) => right.count - left.count);
 }
 
-function computeSpread(values: readonly number[]): Spread {
+function computeSpread(values: readonly number[]): SeedStatistics {
   const sum = values.reduce((total, value) => total + value, 0);
   return {
     mean: sum / values.length,
--- a/packages/bench/src/scenario-faults.ts
+++ b/packages/bench/src/scenario-faults.ts
@@ -67,19 +67,20 @@
         id === fault.target || settings.instance.failureDomain === fault.target,
     );
     for (const instance of instances) {
-      this.network.getGate(instance.id).kill();
+      this.network.getProcess(instance.id).kill();
       this.system.removeInstance(instance);
     }
     if (instances.some(({id}) => id === fault.target)) return;
     for (const {upstream} of this.findUpstreams(fault)) {
-      this.network.getGate(upstream.id).kill();
+      this.network.getProcess(upstream.id).kill();
       void this.network.stopServing(upstream.address);
     }
   }
 
   private setIsolated(fault: ScenarioFault, isOn: boolean): void {
     for (const {id} of this.system.instances) {
-      if (id !== fault.target) this.network.setCut(id, fault.target, isOn);
+      if (id !== fault.target)
+        this.network.setPartitioned(id, fault.target, isOn);
     }
   }
 }
--- a/packages/bench/src/summary-table.ts
+++ b/packages/bench/src/summary-table.ts
@@ -1,4 +1,4 @@
-import type {PolicySummary, Spread} from './results.ts';
+import type {PolicySummary, SeedStatistics} from './results.ts';
 
 /** Formats summaries as a table in Markdown, percentages as mean (least to most). */
 export function formatSummaryTable(
@@ -26,7 +26,7 @@
     .join('\n');
 }
 
-function formatPercent({mean, min, max}: Spread): string {
+function formatPercent({mean, min, max}: SeedStatistics): string {
   const [middle, least, most] = [mean, min, max].map(value =>
     (value * 100).toFixed(1),
   );
--- a/packages/claims/src/claimed-calls.ts
+++ b/packages/claims/src/claimed-calls.ts
@@ -1,7 +1,7 @@
 import {waitFor, type Clock} from '@hollowstack/clock';
 import {HollowstackError} from '@hollowstack/errors';
 import {StoreError} from '@hollowstack/store';
-import type {CallOutcome, KeptAnswer} from '@hollowstack/types';
+import type {CallOutcome, StoredAnswer} from '@hollowstack/types';
 import {match} from 'ts-pattern';
 import type {ClaimIdentity, ClaimStore, HeldClaim} from './claim-store.ts';
 
@@ -18,7 +18,7 @@
     waitMs: number,
   ) => Promise<CallOutcome | undefined>;
   /** Called where a claim has no known outcome. */
-  readonly recordUnknown: (claim: HeldClaim) => void;
+  readonly recordUnknownOutcome: (claim: HeldClaim) => void;
 }
 
 interface LocalCall {
@@ -68,7 +68,7 @@
     identity: ClaimIdentity,
     deadlineMs: number,
     runCall: () => Promise<CallOutcome>,
-  ): Promise<KeptAnswer | undefined> {
+  ): Promise<StoredAnswer | undefined> {
     const running = this.runUnderClaim(identity, deadlineMs, runCall);
     this.followToEnd(running);
     return running;
@@ -78,7 +78,7 @@
     identity: ClaimIdentity,
     deadlineMs: number,
     runCall: () => Promise<CallOutcome>,
-  ): Promise<KeptAnswer | undefined> {
+  ): Promise<StoredAnswer | undefined> {
     const claim = await this.acquireClaim(identity, deadlineMs);
     if (claim.record.requestId !== identity.requestId) {
       return this.answerResend(claim, identity, deadlineMs, runCall);
@@ -132,7 +132,7 @@
     claim: HeldClaim,
     deadlineMs: number,
     runCall: () => Promise<CallOutcome>,
-  ): Promise<KeptAnswer | undefined> {
+  ): Promise<StoredAnswer | undefined> {
     const {clock} = this.parts;
     // A pause may have come between the claim and this line.
     const isLate = clock.getNow() >= deadlineMs;
@@ -156,7 +156,7 @@
     identity: ClaimIdentity,
     deadlineMs: number,
     runCall: () => Promise<CallOutcome>,
-  ): Promise<KeptAnswer | undefined> {
+  ): Promise<StoredAnswer | undefined> {
     if (claim.record.fingerprint !== identity.fingerprint) {
       throw new HollowstackError(
         'key-reused',
@@ -171,7 +171,7 @@
         this.takeOver(claim, identity, deadlineMs, runCall),
       )
       .with({type: 'unknown'}, undefined, () => {
-        this.parts.recordUnknown(claim);
+        this.parts.recordUnknownOutcome(claim);
         throw new HollowstackError(
           'outcome-unknown',
           `the first call ${claim.record.requestId} has no known outcome`,
@@ -206,7 +206,7 @@
     identity: ClaimIdentity,
     deadlineMs: number,
     runCall: () => Promise<CallOutcome>,
-  ): Promise<KeptAnswer | undefined> {
+  ): Promise<StoredAnswer | undefined> {
     const held = await this.parts.claims
       .replaceClaim(claim, identity)
       .catch((error: unknown) => {
--- a/packages/cli/src/commands/config/publish.ts
+++ b/packages/cli/src/commands/config/publish.ts
@@ -1,6 +1,9 @@
 import {randomUUID} from 'node:crypto';
 import {userInfo} from 'node:os';
-import {parseConfigurationToml, type Published} from '@hollowstack/config-log';
+import {
+  parseConfigurationToml,
+  type PublishResult,
+} from '@hollowstack/config-log';
 import {Command, Option} from 'clipanion';
 import {OperatorCommand} from '../../operator-command.ts';
 import {readTextFile} from '../../read-text-file.ts';
@@ -52,14 +55,14 @@
       baseRevision,
       objects,
       removals: this.removals,
-    })) as Published;
+    })) as PublishResult;
     if (this.json) this.print(JSON.stringify(published));
     else this.print(formatPublished(published));
     return 0;
   }
 }
 
-function formatPublished({revision, changed}: Published): string {
+function formatPublished({revision, changed}: PublishResult): string {
   if (changed.length === 0) {
     return `nothing to change; revision ${revision} stays in force`;
   }
--- a/packages/cli/src/commands/config/restore.ts
+++ b/packages/cli/src/commands/config/restore.ts
@@ -1,6 +1,6 @@
 import {randomUUID} from 'node:crypto';
 import {userInfo} from 'node:os';
-import type {Published} from '@hollowstack/config-log';
+import type {PublishResult} from '@hollowstack/config-log';
 import {Command, Option} from 'clipanion';
 import {OperatorCommand} from '../../operator-command.ts';
 
@@ -27,7 +27,7 @@
     const published = (await this.callEntry('POST', 'restore', {
       changeId: randomUUID(),
       author: this.author ?? userInfo().username,
-    })) as Published;
+    })) as PublishResult;
     if (this.json) this.print(JSON.stringify(published));
     else this.print(`revision ${published.revision} is in force again`);
     return 0;
--- a/packages/config-log/src/follower.ts
+++ b/packages/config-log/src/follower.ts
@@ -11,7 +11,11 @@
 import type {Head} from '@hollowstack/types';
 import type {ConfigurationHolder} from './holder.ts';
 import {HEAD_KEY} from './keys.ts';
-import {readChangedSnapshot, readHead, readStoredSnapshot} from './reading.ts';
+import {
+  readChangedSnapshot,
+  readHead,
+  readStoredSnapshot,
+} from './stored-snapshot.ts';
 
 /** Milliseconds between readings of the head where the watch brings nothing. */
 const DEFAULT_POLL_MS = 5000;
--- a/packages/config-log/src/index.ts
+++ b/packages/config-log/src/index.ts
@@ -22,7 +22,7 @@
   type PublishPlan,
   type PublishRequest,
 } from './publish-plan.ts';
-export {ConfigurationPublisher, type Published} from './publisher.ts';
+export {ConfigurationPublisher, type PublishResult} from './publisher.ts';
 export {ConfigurationHolder, type OfferOutcome} from './holder.ts';
 export {ConfigurationFollower} from './follower.ts';
-export {readChangeRecords, readStoredSnapshot} from './reading.ts';
+export {readChangeRecords, readStoredSnapshot} from './stored-snapshot.ts';
--- a/packages/config-log/src/publisher.ts
+++ b/packages/config-log/src/publisher.ts
@@ -18,10 +18,10 @@
   type PublishPlan,
   type PublishRequest,
 } from './publish-plan.ts';
-import {readStoredSnapshot, type StoredSnapshot} from './reading.ts';
+import {readStoredSnapshot, type StoredSnapshot} from './stored-snapshot.ts';
 
 /** A change that has taken effect. */
-export interface Published {
+export interface PublishResult {
   readonly revision: number;
   readonly changeId: string;
   /** Ids of the objects that changed; empty where the file held nothing new. */
@@ -70,7 +70,7 @@
   publish(
     request: PublishRequest,
     getInForceRevision: () => number,
-  ): Promise<Published> {
+  ): Promise<PublishResult> {
     return this.publishByPlan(request.changeId, async ({snapshot, storeId}) => {
       await this.identity.checkStore(storeId);
       return assemblePublishPlan(
@@ -86,9 +86,9 @@
   restore(
     inForce: ConfigurationSnapshot,
     request: Pick<PublishRequest, 'changeId' | 'author'>,
-  ): Promise<Published> {
+  ): Promise<PublishResult> {
     return this.publishByPlan(request.changeId, async ({snapshot, storeId}) => {
-      await this.identity.applyStore(storeId);
+      await this.identity.acceptStore(storeId);
       return assembleRestorePlan(
         snapshot,
         inForce,
@@ -101,7 +101,7 @@
   private async publishByPlan(
     changeId: string,
     assemblePlan: (stored: StoredSnapshot) => Promise<PublishPlan>,
-  ): Promise<Published> {
+  ): Promise<PublishResult> {
     let mayHaveTakenEffect = false;
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       try {
@@ -129,7 +129,7 @@
   private async publishOnce(
     changeId: string,
     assemblePlan: (stored: StoredSnapshot) => Promise<PublishPlan>,
-  ): Promise<Published | undefined> {
+  ): Promise<PublishResult | undefined> {
     const earlier = await this.findPublished(changeId);
     if (earlier) return earlier;
     const stored = await readStoredSnapshot(this.store);
@@ -168,7 +168,7 @@
 
   private async findPublished(
     changeId: string,
-  ): Promise<Published | undefined> {
+  ): Promise<PublishResult | undefined> {
     const found = await this.store.readRange(
       createSingleKeyRange(getChangeIdKey(changeId)),
     );
--- a/packages/entry/src/create-daemon.ts
+++ b/packages/entry/src/create-daemon.ts
@@ -10,11 +10,11 @@
   KeyRing,
   Membership,
   PeerLink,
-  RevisionExchange,
+  RevisionGossip,
   ShareClient,
-  ShareKeeper,
+  ShareAllocator,
 } from '@hollowstack/peers';
-import {HolderLease, PlacementKeeper} from '@hollowstack/placement';
+import {PlacementLease, PlacementController} from '@hollowstack/placement';
 import {
   GroupDirectory,
   LoadPoller,
@@ -31,7 +31,7 @@
 import {DEFAULT_HEALTH_POLICY, createSelector} from '@hollowstack/routing';
 import type {CallOutcome} from '@hollowstack/types';
 import {Daemon, type DaemonEnvironment} from './daemon.ts';
-import {Front} from './front.ts';
+import {RequestDispatcher} from './request-dispatcher.ts';
 import {followLeavingUpstreams} from './leaving-upstreams.ts';
 import {Lifecycle} from './lifecycle.ts';
 import {OperatorEndpoint} from './operator-endpoint.ts';
@@ -45,7 +45,7 @@
 import {ServiceEndpoint} from './service-endpoint.ts';
 import type {Settings} from './settings.ts';
 import {StatusReader} from './status-reader.ts';
-import {WhyReader} from './why-reader.ts';
+import {DecisionReader} from './decision-reader.ts';
 
 /**
  * Seconds of the budget of store calls that may be spent at once; a start
@@ -96,11 +96,11 @@
     logger,
     metrics,
   });
-  const shareKeeper = new ShareKeeper(clock);
+  const shareKeeper = new ShareAllocator(clock);
   const shares = new ShareClient({
     link,
     membership,
-    keeper: shareKeeper,
+    allocator: shareKeeper,
     clock,
     random,
     getWorkspace: name => holder.getCurrent()?.getWorkspace(name),
@@ -138,7 +138,7 @@
     claims: new ClaimStore(store, clock, identity),
     clock,
     askOutcome: (claim, waitMs) => askOutcome(claim, waitMs, membership, link),
-    recordUnknown: ({record}) =>
+    recordUnknownOutcome: ({record}) =>
       logger.logEvent('claim.unknown', {requestId: record.requestId}),
   });
 
@@ -146,12 +146,12 @@
     holder,
     follower,
     membership,
-    shareKeeper,
+    shareAllocator: shareKeeper,
     claimedCalls,
     decisionLog,
   });
   link.setRequestHandler(request => peerRequests.answerRequest(request));
-  const exchange = new RevisionExchange({
+  const exchange = new RevisionGossip({
     link,
     membership,
     clock,
@@ -177,8 +177,8 @@
   watchHub.addSubscription(instanceList);
   watchHub.addSubscription(membership);
 
-  const placement = new PlacementKeeper({
-    lease: new HolderLease(store, clock, id),
+  const placement = new PlacementController({
+    lease: new PlacementLease(store, clock, id),
     client,
     clock,
     random,
@@ -190,7 +190,7 @@
   });
 
   const gate = new RequestGate(lifecycle, holder, shares);
-  const front = new Front({
+  const front = new RequestDispatcher({
     clock,
     logger,
     lifecycle,
@@ -228,7 +228,7 @@
           groups,
           metrics,
         }),
-        why: new WhyReader(decisionLog, membership, link),
+        why: new DecisionReader(decisionLog, membership, link),
         keys: settings.operators.keys,
         jsonDepth: settings.limits.jsonDepth,
       }),
@@ -264,13 +264,13 @@
     membership,
     link,
     keys,
-    exchange,
+    revisionGossip: exchange,
     shares,
     poller,
     pauseGuard,
     placement,
     claimedCalls,
-    front,
+    dispatcher: front,
   });
 }
 
--- a/packages/entry/src/daemon.ts
+++ b/packages/entry/src/daemon.ts
@@ -10,18 +10,18 @@
   Membership,
   PeerLink,
   PeerNetwork,
-  RevisionExchange,
+  RevisionGossip,
   ShareClient,
 } from '@hollowstack/peers';
 import type {LoadPoller} from '@hollowstack/pipeline';
-import type {PlacementKeeper} from '@hollowstack/placement';
+import type {PlacementController} from '@hollowstack/placement';
 import type {InstanceList, WatchHub} from '@hollowstack/store';
 import type {
   HttpClient,
   HttpRequest,
   HttpResponse,
 } from '@hollowstack/transport';
-import type {Front} from './front.ts';
+import type {RequestDispatcher} from './request-dispatcher.ts';
 import type {Lifecycle} from './lifecycle.ts';
 import type {PauseGuard} from './pause-guard.ts';
 import type {Settings} from './settings.ts';
@@ -49,13 +49,13 @@
   readonly membership: Membership;
   readonly link: PeerLink;
   readonly keys: KeyRing;
-  readonly exchange: RevisionExchange;
+  readonly revisionGossip: RevisionGossip;
   readonly shares: ShareClient;
   readonly poller: LoadPoller;
   readonly pauseGuard: PauseGuard;
-  readonly placement: PlacementKeeper;
+  readonly placement: PlacementController;
   readonly claimedCalls: ClaimedCalls;
-  readonly front: Front;
+  readonly dispatcher: RequestDispatcher;
 }
 
 /** Milliseconds between two looks whether a start is complete. */
@@ -71,7 +71,7 @@
 
   /** Answers one request of a caller, operator or probe. */
   handle(request: HttpRequest): Promise<HttpResponse> {
-    return this.parts.front.handle(request);
+    return this.parts.dispatcher.handle(request);
   }
 
   /** Starts all parts and resolves once a configuration is in force. */
@@ -84,12 +84,12 @@
     // Peers come before the service's word counts: after a restore of the
     // service from a backup only they know the newest revision.
     await parts.membership.refresh();
-    await parts.exchange.runRound();
+    await parts.revisionGossip.runRound();
     void parts.watchHub.start();
     void parts.follower.start();
     void parts.instanceList.start();
     void parts.membership.start();
-    void parts.exchange.start();
+    void parts.revisionGossip.start();
     void parts.shares.start();
     void parts.poller.start();
     parts.pauseGuard.start();
@@ -146,7 +146,7 @@
     parts.poller.stop();
     parts.pauseGuard.stop();
     parts.shares.stop();
-    parts.exchange.stop();
+    parts.revisionGossip.stop();
     parts.instanceList.stop();
     parts.follower.stop();
     parts.watchHub.stop();
--- a/packages/entry/src/decision-reader.ts
+++ b/packages/entry/src/decision-reader.ts
@@ -10,7 +10,7 @@
  * Finds the decisions about a request, on this instance or the one its id
  * names.
  */
-export class WhyReader {
+export class DecisionReader {
   private readonly decisionLog: DecisionLog;
   private readonly membership: Membership;
   private readonly link: PeerLink;
@@ -26,7 +26,7 @@
   }
 
   /** @throws HollowstackError `not-found` that says where the record would be. */
-  async readWhy(requestId: string): Promise<RequestDecisions> {
+  async readDecisions(requestId: string): Promise<RequestDecisions> {
     const own = this.decisionLog.getRequest(requestId);
     if (own) return own;
     const instance = getInstanceOfRequest(requestId);
--- a/packages/entry/src/endpoint.ts
+++ b/packages/entry/src/endpoint.ts
@@ -1,7 +1,7 @@
 import type {HttpRequest, HttpResponse} from '@hollowstack/transport';
 
 /** One request with what the front knows of it. */
-export interface FrontRequest {
+export interface EndpointRequest {
   readonly http: HttpRequest;
   readonly requestId: string;
   /** Parts of the path, decoded, without its query. */
@@ -13,8 +13,8 @@
 /** Answers the requests below one path. */
 export abstract class Endpoint {
   /** Returns whether the request is this endpoint's. */
-  abstract isFor(request: FrontRequest): boolean;
+  abstract isFor(request: EndpointRequest): boolean;
 
   /** Answers the request. @throws HollowstackError that becomes a problem. */
-  abstract handle(request: FrontRequest): Promise<HttpResponse>;
+  abstract handle(request: EndpointRequest): Promise<HttpResponse>;
 }
--- a/packages/entry/src/leaving-upstreams.ts
+++ b/packages/entry/src/leaving-upstreams.ts
@@ -15,7 +15,7 @@
       const {name, upstreams} = group.getSettings();
       for (const {id} of upstreams) {
         const isLeaving = list.getInstance(name, id)?.state === 'leaving';
-        group.recordListed(id, isLeaving);
+        group.recordListedState(id, isLeaving);
       }
     }
   });
--- a/packages/entry/src/operator-endpoint.ts
+++ b/packages/entry/src/operator-endpoint.ts
@@ -4,7 +4,7 @@
   type ConfigurationFollower,
   type ConfigurationHolder,
   type ConfigurationPublisher,
-  type Published,
+  type PublishResult,
 } from '@hollowstack/config-log';
 import {HollowstackError} from '@hollowstack/errors';
 import type {EventLogger} from '@hollowstack/logger';
@@ -16,10 +16,10 @@
   type HttpResponse,
 } from '@hollowstack/transport';
 import {z} from 'zod';
-import {Endpoint, type FrontRequest} from './endpoint.ts';
+import {Endpoint, type EndpointRequest} from './endpoint.ts';
 import {readJsonBody} from './json-body.ts';
 import type {StatusReader} from './status-reader.ts';
-import type {WhyReader} from './why-reader.ts';
+import type {DecisionReader} from './decision-reader.ts';
 
 /** What the endpoint works with. */
 export interface OperatorEndpointParts {
@@ -29,7 +29,7 @@
   readonly publisher: ConfigurationPublisher;
   readonly logger: EventLogger;
   readonly status: StatusReader;
-  readonly why: WhyReader;
+  readonly why: DecisionReader;
   /** Bearer tokens that are taken. */
   readonly keys: readonly string[];
   readonly jsonDepth: number;
@@ -57,11 +57,11 @@
     this.parts = parts;
   }
 
-  isFor({segments}: FrontRequest): boolean {
+  isFor({segments}: EndpointRequest): boolean {
     return segments[0] === 'v1' && segments[1] === 'operator';
   }
 
-  async handle(request: FrontRequest): Promise<HttpResponse> {
+  async handle(request: EndpointRequest): Promise<HttpResponse> {
     this.checkKey(request);
     const call = [request.http.method, ...request.segments.slice(2, 4)];
     switch (call.join(' ')) {
@@ -82,7 +82,7 @@
       case `GET why ${request.segments[3]}`:
         return createJsonResponse(
           200,
-          await this.parts.why.readWhy(request.segments[3]),
+          await this.parts.why.readDecisions(request.segments[3]),
         );
       default:
         throw new HollowstackError('not-found', 'no such operator call');
@@ -91,7 +91,7 @@
 
   // Hashes of both are compared, so that neither length nor content can be
   // told from the time it takes.
-  private checkKey(request: FrontRequest): void {
+  private checkKey(request: EndpointRequest): void {
     const {authorization} = request.http.headers;
     if (hasBearerKey(authorization, this.parts.keys)) return;
     throw new HollowstackError('unauthorized', 'operator key is not known');
@@ -103,7 +103,7 @@
     return {head: {revision: 0, changeId: '', objects: []}, objects: []};
   }
 
-  private async check(request: FrontRequest): Promise<HttpResponse> {
+  private async check(request: EndpointRequest): Promise<HttpResponse> {
     const {objects} = readJsonBody(
       request.http,
       publishSchema,
@@ -112,7 +112,7 @@
     return createJsonResponse(200, {findings: checkConfiguration(objects)});
   }
 
-  private async publish(request: FrontRequest): Promise<HttpResponse> {
+  private async publish(request: EndpointRequest): Promise<HttpResponse> {
     const {holder, follower, publisher, logger, jsonDepth} = this.parts;
     const body = readJsonBody(request.http, publishSchema, jsonDepth);
     await follower.refresh();
@@ -130,7 +130,7 @@
     return this.createPublishedResponse(published);
   }
 
-  private async restore(request: FrontRequest): Promise<HttpResponse> {
+  private async restore(request: EndpointRequest): Promise<HttpResponse> {
     const {holder, publisher, jsonDepth} = this.parts;
     const body = readJsonBody(request.http, restoreSchema, jsonDepth);
     const current = holder.getCurrent();
@@ -144,14 +144,14 @@
 
   // The publishing instance takes the change without reading it back: should
   // the store lose it right after, the peers still learn of it from here.
-  private async putInForce(published: Published): Promise<void> {
+  private async putInForce(published: PublishResult): Promise<void> {
     const {holder, follower} = this.parts;
     if (published.snapshot)
       holder.offerSnapshot(published.snapshot, 'operator');
     else await follower.refresh();
   }
 
-  private createPublishedResponse(published: Published): HttpResponse {
+  private createPublishedResponse(published: PublishResult): HttpResponse {
     const {revision, changeId, changed} = published;
     return createJsonResponse(200, {revision, changeId, changed});
   }
--- a/packages/entry/src/peer-requests.ts
+++ b/packages/entry/src/peer-requests.ts
@@ -8,7 +8,7 @@
   Membership,
   PeerReply,
   PeerRequest,
-  ShareKeeper,
+  ShareAllocator,
 } from '@hollowstack/peers';
 import {match} from 'ts-pattern';
 
@@ -17,7 +17,7 @@
   readonly holder: ConfigurationHolder;
   readonly follower: ConfigurationFollower;
   readonly membership: Membership;
-  readonly shareKeeper: ShareKeeper;
+  readonly shareAllocator: ShareAllocator;
   readonly claimedCalls: ClaimedCalls;
   readonly decisionLog: DecisionLog;
 }
@@ -71,7 +71,7 @@
   }
 
   private answerDigest(digest: RequestOf<'digest'>): PeerReply {
-    this.parts.membership.recordHeard(digest.self);
+    this.parts.membership.recordContact(digest.self);
     this.parts.follower.handleHint(digest.revision);
     return {type: 'digest', ...this.getRevision()};
   }
@@ -94,7 +94,7 @@
     if (!workspace) {
       return {type: 'failed', message: `no workspace ${demand.workspace}`};
     }
-    const share = this.parts.shareKeeper.grantShare(
+    const share = this.parts.shareAllocator.grantShare(
       demand.workspace,
       demand.instance,
       demand,
--- a/packages/entry/src/pipeline-endpoint.ts
+++ b/packages/entry/src/pipeline-endpoint.ts
@@ -16,7 +16,7 @@
   type HttpResponse,
 } from '@hollowstack/transport';
 import {z} from 'zod';
-import {Endpoint, type FrontRequest} from './endpoint.ts';
+import {Endpoint, type EndpointRequest} from './endpoint.ts';
 import {readJsonBody} from './json-body.ts';
 import {REQUEST_ID_HEADER} from './problem-response.ts';
 import type {AdmittedRequest, RequestGate} from './request-gate.ts';
@@ -24,7 +24,7 @@
   computeDeadlineMs,
   getDeadlineHeader,
   openRequestScope,
-  settleError,
+  applyRunStatus,
   type RequestScope,
 } from './request-scope.ts';
 
@@ -59,7 +59,7 @@
     this.parts = parts;
   }
 
-  isFor({http, segments}: FrontRequest): boolean {
+  isFor({http, segments}: EndpointRequest): boolean {
     return (
       http.method === 'POST' &&
       segments.length === PIPELINE_SEGMENTS &&
@@ -69,7 +69,7 @@
     );
   }
 
-  async handle(request: FrontRequest): Promise<HttpResponse> {
+  async handle(request: EndpointRequest): Promise<HttpResponse> {
     const [, , workspaceName, , pipelineName] = request.segments;
     const body = readJsonBody(request.http, bodySchema, this.parts.jsonDepth);
     const admitted = await this.parts.gate.admitRequest(workspaceName);
@@ -85,7 +85,7 @@
   }
 
   private openRun(
-    request: FrontRequest,
+    request: EndpointRequest,
     admitted: AdmittedRequest,
     pipelineName: string,
     body: PipelineBody,
@@ -176,7 +176,7 @@
       context.recordDecision('answer', 'whole', 'answered whole');
       return result;
     } catch (thrown) {
-      const error = settleError(thrown, context, 'yes');
+      const error = applyRunStatus(thrown, context, 'yes');
       this.recordOutcome(run, error.kind);
       throw error;
     } finally {
@@ -203,7 +203,7 @@
 }
 
 interface PipelineRun {
-  readonly request: FrontRequest;
+  readonly request: EndpointRequest;
   readonly admitted: AdmittedRequest;
   readonly scope: RequestScope;
   readonly work: PipelineRequest;
--- a/packages/entry/src/probe-endpoint.ts
+++ b/packages/entry/src/probe-endpoint.ts
@@ -4,7 +4,7 @@
   createTextBody,
   type HttpResponse,
 } from '@hollowstack/transport';
-import {Endpoint, type FrontRequest} from './endpoint.ts';
+import {Endpoint, type EndpointRequest} from './endpoint.ts';
 import type {Lifecycle} from './lifecycle.ts';
 
 const PATHS = ['healthz', 'readyz', 'metrics'];
@@ -20,7 +20,7 @@
     this.metrics = metrics;
   }
 
-  isFor({http, segments}: FrontRequest): boolean {
+  isFor({http, segments}: EndpointRequest): boolean {
     return (
       http.method === 'GET' &&
       segments.length === 1 &&
@@ -28,7 +28,7 @@
     );
   }
 
-  async handle({segments}: FrontRequest): Promise<HttpResponse> {
+  async handle({segments}: EndpointRequest): Promise<HttpResponse> {
     const state = this.lifecycle.getState();
     if (segments[0] === 'healthz') return createJsonResponse(200, {state});
     if (segments[0] === 'readyz') {
--- a/packages/entry/src/request-dispatcher.ts
+++ b/packages/entry/src/request-dispatcher.ts
@@ -2,13 +2,13 @@
 import {HollowstackError, toHollowstackError} from '@hollowstack/errors';
 import type {EventLogger} from '@hollowstack/logger';
 import type {HttpRequest, HttpResponse} from '@hollowstack/transport';
-import type {Endpoint, FrontRequest} from './endpoint.ts';
+import type {Endpoint, EndpointRequest} from './endpoint.ts';
 import type {Lifecycle} from './lifecycle.ts';
 import {createProblemResponse} from './problem-response.ts';
 import type {RequestIds} from './request-ids.ts';
 
 /** What the front works with. */
-export interface FrontParts {
+export interface RequestDispatcherParts {
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly lifecycle: Lifecycle;
@@ -17,10 +17,10 @@
 }
 
 /** Finds the endpoint for each request, and makes problems of what it throws. */
-export class Front {
-  private readonly parts: FrontParts;
+export class RequestDispatcher {
+  private readonly parts: RequestDispatcherParts;
 
-  constructor(parts: FrontParts) {
+  constructor(parts: RequestDispatcherParts) {
     this.parts = parts;
   }
 
@@ -30,7 +30,7 @@
     const requestId = requestIds.createId();
     const endRequest = lifecycle.beginRequest();
     try {
-      const request: FrontRequest = {
+      const request: EndpointRequest = {
         http,
         requestId,
         segments: splitPath(http.path),
@@ -46,7 +46,7 @@
     }
   }
 
-  private findEndpoint(request: FrontRequest): Endpoint {
+  private findEndpoint(request: EndpointRequest): Endpoint {
     const endpoint = this.parts.endpoints.find(candidate =>
       candidate.isFor(request),
     );
--- a/packages/entry/src/request-scope.ts
+++ b/packages/entry/src/request-scope.ts
@@ -3,7 +3,7 @@
 import {
   HollowstackError,
   toHollowstackError,
-  type Ran,
+  type RunStatus,
 } from '@hollowstack/errors';
 import {RequestContext, type RequestIdentity} from '@hollowstack/pipeline';
 
@@ -44,10 +44,10 @@
  *
  * @param ranIfBegun What to say where one may have.
  */
-export function settleError(
+export function applyRunStatus(
   thrown: unknown,
   context: RequestContext,
-  ranIfBegun: Ran,
+  ranIfBegun: RunStatus,
 ): HollowstackError {
   const error = toHollowstackError(thrown);
   const {kind, message, retryAfterMs} = error;
--- a/packages/entry/src/service-endpoint.ts
+++ b/packages/entry/src/service-endpoint.ts
@@ -12,19 +12,19 @@
 } from '@hollowstack/pipeline';
 import type {
   CallOutcome,
-  KeptAnswer,
+  StoredAnswer,
   Service,
   ServiceOperation,
 } from '@hollowstack/types';
 import type {HttpResponse} from '@hollowstack/transport';
-import {Endpoint, type FrontRequest} from './endpoint.ts';
+import {Endpoint, type EndpointRequest} from './endpoint.ts';
 import {REQUEST_ID_HEADER} from './problem-response.ts';
 import type {AdmittedRequest, RequestGate} from './request-gate.ts';
 import {
   computeDeadlineMs,
   getDeadlineHeader,
   openRequestScope,
-  settleError,
+  applyRunStatus,
 } from './request-scope.ts';
 
 /** What the endpoint works with. */
@@ -58,7 +58,7 @@
     this.parts = parts;
   }
 
-  isFor({segments}: FrontRequest): boolean {
+  isFor({segments}: EndpointRequest): boolean {
     return (
       segments.length >= FIXED_SEGMENTS &&
       segments[0] === 'v1' &&
@@ -67,7 +67,7 @@
     );
   }
 
-  async handle(request: FrontRequest): Promise<HttpResponse> {
+  async handle(request: EndpointRequest): Promise<HttpResponse> {
     const admitted = await this.parts.gate.admitRequest(request.segments[2]);
     try {
       const service = findService(admitted, request.segments[4]);
@@ -78,7 +78,7 @@
   }
 
   private async runService(
-    request: FrontRequest,
+    request: EndpointRequest,
     admitted: AdmittedRequest,
     service: Service,
   ): Promise<HttpResponse> {
@@ -119,7 +119,7 @@
   }
 
   private async runCall(
-    request: FrontRequest,
+    request: EndpointRequest,
     call: ServiceCallRequest,
     context: RequestContext,
   ): Promise<HttpResponse> {
@@ -132,7 +132,7 @@
   }
 
   private async runClaimed(
-    request: FrontRequest,
+    request: EndpointRequest,
     call: ServiceCallRequest,
     key: string,
     context: RequestContext,
@@ -170,7 +170,7 @@
 
   private recordOutcome(
     context: RequestContext,
-    request: FrontRequest,
+    request: EndpointRequest,
     outcome: string,
   ): void {
     const {clock, metrics} = this.parts;
@@ -199,7 +199,7 @@
 }
 
 function createServiceCall(
-  request: FrontRequest,
+  request: EndpointRequest,
   service: Service,
 ): ServiceCallRequest {
   const {http, segments} = request;
@@ -254,10 +254,10 @@
     thrown instanceof HollowstackError &&
     (thrown.kind === 'outcome-unknown' || thrown.kind === 'answer-not-kept');
   if (isAboutEarlierCall) return thrown;
-  return settleError(thrown, context, call.isRepeatable ? 'yes' : 'unknown');
+  return applyRunStatus(thrown, context, call.isRepeatable ? 'yes' : 'unknown');
 }
 
-function toKeptAnswer(answer: ServiceAnswer): KeptAnswer {
+function toKeptAnswer(answer: ServiceAnswer): StoredAnswer {
   return {
     status: answer.status,
     contentType: answer.headers['content-type'] ?? 'application/octet-stream',
@@ -265,14 +265,14 @@
   };
 }
 
-function applyKeptLimit(answer: KeptAnswer): KeptAnswer {
+function applyKeptLimit(answer: StoredAnswer): StoredAnswer {
   const isTooLarge = (answer.body?.length ?? 0) > MAX_KEPT_BYTES;
   return isTooLarge ? {...answer, body: undefined} : answer;
 }
 
 function createServiceResponse(
-  request: FrontRequest,
-  answer: KeptAnswer,
+  request: EndpointRequest,
+  answer: StoredAnswer,
 ): HttpResponse {
   const body = Buffer.from(answer.body ?? '', 'base64');
   return {
--- a/packages/entry/src/status-reader.ts
+++ b/packages/entry/src/status-reader.ts
@@ -73,8 +73,8 @@
   private listGroups(): GroupStatus[] {
     return this.parts.groups.listGroups().map(group => ({
       name: group.getSettings().name,
-      limit: group.places.getLimit(),
-      inService: group.places.total,
+      limit: group.slotQueue.getLimit(),
+      inService: group.slotQueue.total,
       upstreams: group.listStatuses(),
     }));
   }
--- a/packages/errors/src/answers.ts
+++ b/packages/errors/src/answers.ts
@@ -1,12 +1,12 @@
 import {match} from 'ts-pattern';
-import type {ErrorKind, Ran} from './kinds.ts';
+import type {ErrorKind, RunStatus} from './kinds.ts';
 
 /** What a caller is told for a kind of error. */
 export interface ErrorAnswer {
   /** HTTP status code. */
   readonly status: number;
   /** Whether the request ran, unless the error at hand knows better. */
-  readonly ran: Ran;
+  readonly ran: RunStatus;
   /** Milliseconds after which to come back; absent where coming back is of no use. */
   readonly retryAfterMs?: number;
   readonly title: string;
--- a/packages/errors/src/hollowstack-error.ts
+++ b/packages/errors/src/hollowstack-error.ts
@@ -1,10 +1,10 @@
 import {getErrorAnswer, type ErrorAnswer} from './answers.ts';
-import type {ErrorKind, Ran} from './kinds.ts';
+import type {ErrorKind, RunStatus} from './kinds.ts';
 
 /** Particulars of one error that go beyond its kind. */
 export interface ErrorDetails {
   /** Overrides the table's word on whether the request ran. */
-  readonly ran?: Ran;
+  readonly ran?: RunStatus;
   /** Overrides the table's time to come back, in milliseconds. */
   readonly retryAfterMs?: number;
   readonly cause?: unknown;
@@ -13,7 +13,7 @@
 /** The one error class of hollowstack; its kind decides the answer. */
 export class HollowstackError extends Error {
   readonly kind: ErrorKind;
-  readonly ran: Ran;
+  readonly ran: RunStatus;
   readonly retryAfterMs: number | undefined;
 
   constructor(kind: ErrorKind, message: string, details: ErrorDetails = {}) {
--- a/packages/errors/src/kinds.ts
+++ b/packages/errors/src/kinds.ts
@@ -30,4 +30,4 @@
 export type ErrorKind = (typeof ERROR_KINDS)[number];
 
 /** Whether the request ran: `no` is only said where no work of it can have begun. */
-export type Ran = 'no' | 'yes' | 'unknown';
+export type RunStatus = 'no' | 'yes' | 'unknown';
--- a/packages/errors/src/problem.ts
+++ b/packages/errors/src/problem.ts
@@ -1,5 +1,5 @@
 import type {HollowstackError} from './hollowstack-error.ts';
-import type {ErrorKind, Ran} from './kinds.ts';
+import type {ErrorKind, RunStatus} from './kinds.ts';
 
 /** Problem details as of RFC 9457, with the fields that hollowstack adds. */
 export interface Problem {
@@ -8,7 +8,7 @@
   readonly status: number;
   readonly detail: string;
   readonly kind: ErrorKind;
-  readonly ran: Ran;
+  readonly ran: RunStatus;
   readonly action: string;
   readonly requestId: string;
   /** Milliseconds after which to come back. */
--- a/packages/freshness/src/freshness-guard.test.ts
+++ b/packages/freshness/src/freshness-guard.test.ts
@@ -5,7 +5,7 @@
 import {MetricsRegistry} from '@hollowstack/metrics';
 import {FreshnessGuard} from './freshness-guard.ts';
 import {FreshnessTable, VIEW_PARTS} from './freshness-table.ts';
-import {RefreshWay, type PeerReach} from './refresh-way.ts';
+import {ViewRefresher, type PeerReach} from './view-refresher.ts';
 
 const LIMIT_MS = 2000;
 const ANSWER_MS = 20;
@@ -18,7 +18,7 @@
   }
 }
 
-class TestWay extends RefreshWay {
+class TestWay extends ViewRefresher {
   count = 0;
   reach: PeerReach = 'none';
   isConfirming = false;
@@ -47,14 +47,14 @@
 function createGuard() {
   const clock = new ManualClock();
   const logger = new ListingLogger();
-  const table = new FreshnessTable({clock, limitMs: LIMIT_MS});
+  const table = new FreshnessTable({clock, maxAgeMs: LIMIT_MS});
   const way = new TestWay(clock, table);
   const guard = new FreshnessGuard({
     clock,
     logger,
     metrics: new MetricsRegistry(),
     table,
-    ways: [way],
+    refreshers: [way],
   });
   recordAll(table, clock.getNow());
   return {clock, logger, table, way, guard};
--- a/packages/freshness/src/freshness-guard.ts
+++ b/packages/freshness/src/freshness-guard.ts
@@ -2,7 +2,7 @@
 import type {EventLogger} from '@hollowstack/logger';
 import type {MetricsRegistry} from '@hollowstack/metrics';
 import type {FreshnessTable} from './freshness-table.ts';
-import type {PeerReach, RefreshWay} from './refresh-way.ts';
+import type {PeerReach, ViewRefresher} from './view-refresher.ts';
 
 /** Dependencies of FreshnessGuard. */
 export interface FreshnessGuardParts {
@@ -11,7 +11,7 @@
   readonly metrics: MetricsRegistry;
   readonly table: FreshnessTable;
   /** Used together by each refresh. */
-  readonly ways: readonly RefreshWay[];
+  readonly refreshers: readonly ViewRefresher[];
 }
 
 /** Longest milliseconds of a refresh: some answers of a slow peer, a part of any deadline. */
@@ -94,10 +94,10 @@
   }
 
   private async runRefresh(beganAtMs: number): Promise<void> {
-    const {clock, table, ways, metrics} = this.parts;
+    const {clock, table, refreshers, metrics} = this.parts;
     this.recordStale(beganAtMs);
     let reach: PeerReach = 'none';
-    const asked = ways.map(async way => {
+    const asked = refreshers.map(async way => {
       reach = chooseFarther(reach, await way.refresh());
     });
     void Promise.all(asked);
--- a/packages/freshness/src/freshness-table.test.ts
+++ b/packages/freshness/src/freshness-table.test.ts
@@ -7,7 +7,7 @@
 
 test('the view is as old as the part that is known for longest ago', async () => {
   const clock = new ManualClock();
-  const table = new FreshnessTable({clock, limitMs: LIMIT_MS});
+  const table = new FreshnessTable({clock, maxAgeMs: LIMIT_MS});
   const startMs = clock.getNow();
   assert.deepEqual(table.getState(), {
     ageMs: undefined,
@@ -30,7 +30,7 @@
 
 test('evidence is never taken back, and none reaches ahead of now', async () => {
   const clock = new ManualClock();
-  const table = new FreshnessTable({clock, limitMs: LIMIT_MS});
+  const table = new FreshnessTable({clock, maxAgeMs: LIMIT_MS});
   const startMs = clock.getNow();
   table.recordKnown('upstreams', startMs + 500, 'peer');
   assert.equal(table.getKnownUntilMs('upstreams'), startMs);
--- a/packages/freshness/src/freshness-table.ts
+++ b/packages/freshness/src/freshness-table.ts
@@ -19,7 +19,7 @@
 export interface FreshnessTableParts {
   readonly clock: Clock;
   /** Milliseconds of age from which on the view is stale. */
-  readonly limitMs: number;
+  readonly maxAgeMs: number;
 }
 
 interface Evidence {
@@ -67,7 +67,7 @@
   }
 
   isStale(): boolean {
-    return this.getAgeMs() > this.parts.limitMs;
+    return this.getAgeMs() > this.parts.maxAgeMs;
   }
 
   getState(): FreshnessState {
--- a/packages/freshness/src/index.ts
+++ b/packages/freshness/src/index.ts
@@ -7,4 +7,4 @@
   type FreshnessTableParts,
   type ViewPart,
 } from './freshness-table.ts';
-export {RefreshWay, type PeerReach} from './refresh-way.ts';
+export {ViewRefresher, type PeerReach} from './view-refresher.ts';
--- a/packages/freshness/src/view-refresher.ts
+++ b/packages/freshness/src/view-refresher.ts
@@ -5,7 +5,7 @@
 export type PeerReach = 'none' | 'near' | 'far';
 
 /** A way to have evidence that the view of the store is fresh. */
-export abstract class RefreshWay {
+export abstract class ViewRefresher {
   /** Asks at once; evidence goes to the table. Never rejects. */
   abstract refresh(): Promise<PeerReach>;
 }
--- a/packages/fuzz/src/commands.ts
+++ b/packages/fuzz/src/commands.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import type {FaultSetting} from '@hollowstack/stand-ins';
-import type {FuzzWorld} from './fuzz-world.ts';
+import type {FuzzHarness} from './fuzz-harness.ts';
 
 /** The model: only what decides whether a command makes sense. */
 export interface FuzzModel {
@@ -8,16 +8,16 @@
 }
 
 /** One step of a run. */
-export type FuzzCommand = fc.AsyncCommand<FuzzModel, FuzzWorld>;
+export type FuzzCommand = fc.AsyncCommand<FuzzModel, FuzzHarness>;
 
 /** A command made of a name, its arguments and what it does. */
 class NamedCommand implements FuzzCommand {
   private readonly text: string;
-  private readonly action: (world: FuzzWorld) => Promise<void> | void;
+  private readonly action: (world: FuzzHarness) => Promise<void> | void;
 
   constructor(
     text: string,
-    action: (world: FuzzWorld) => Promise<void> | void,
+    action: (world: FuzzHarness) => Promise<void> | void,
   ) {
     this.text = text;
     this.action = action;
@@ -27,7 +27,7 @@
     return true;
   }
 
-  async run(_model: FuzzModel, world: FuzzWorld): Promise<void> {
+  async run(_model: FuzzModel, world: FuzzHarness): Promise<void> {
     await this.action(world);
     // A moment for what the command set going, far less than any deadline.
     await world.clock.advance(1);
@@ -101,7 +101,7 @@
     .map(
       ([left, right, isCut]) =>
         new NamedCommand(`cut(${left}, ${right}, ${isCut})`, world =>
-          world.network.setCut(
+          world.network.setPartitioned(
             world.getInstance(left).id,
             world.getInstance(right).id,
             isCut,
@@ -142,7 +142,7 @@
         const all = world.listUpstreams();
         const {id} = all[which % all.length].upstream;
         for (const instance of world.system.instances) {
-          world.network.setCut(id, instance.id, isGone);
+          world.network.setPartitioned(id, instance.id, isGone);
         }
       }),
   ),
@@ -151,7 +151,7 @@
     .map(
       ([which, isLeaving]) =>
         new NamedCommand(`listed(${which}, leaving: ${isLeaving})`, world =>
-          world.setListed(which, isLeaving),
+          world.setListedLeaving(which, isLeaving),
         ),
     ),
 ];
--- a/packages/fuzz/src/found-failures.test.ts
+++ b/packages/fuzz/src/found-failures.test.ts
@@ -1,22 +1,22 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {FuzzWorld, checkPromises} from './index.ts';
+import {FuzzHarness, checkInvariants} from './index.ts';
 
 // Each failure that fuzzing found, by its shrunk commands.
 
-type Step = (world: FuzzWorld) => Promise<void> | void;
+type Step = (world: FuzzHarness) => Promise<void> | void;
 
 const HEAL_MS = 15_000;
 
 async function checkSteps(steps: readonly Step[]): Promise<void> {
-  const world = new FuzzWorld(0);
+  const world = new FuzzHarness(0);
   await world.start();
   for (const step of steps) {
     await step(world);
     await world.clock.advance(1);
   }
   await world.endFaults(HEAL_MS);
-  const violations = checkPromises(world);
+  const violations = checkInvariants(world);
   await world.system.stop();
   assert.deepEqual(violations, []);
 }
@@ -75,7 +75,7 @@
 test('an instance that wakes from a pause sends nothing to an upstream that left meanwhile', () =>
   checkSteps([
     world => world.pauseInstance(2),
-    world => world.setListed(0, true),
+    world => world.setListedLeaving(0, true),
     advance(4000),
     world => world.sendPipeline(2, 'chat', false),
     world => world.sendPipeline(2, 'summary', false),
--- a/packages/fuzz/src/fuzz-harness.ts
+++ b/packages/fuzz/src/fuzz-harness.ts
@@ -19,7 +19,7 @@
   readonly changeId: string;
   readonly revision: number;
   /** Instances that had it in force when it was accepted and were not hit since. */
-  readonly witnesses: Set<string>;
+  readonly instancesInForce: Set<string>;
 }
 
 /** One upstream that the platform's list says is leaving. */
@@ -37,13 +37,13 @@
 const DEADLINES_MS = {chat: 2000, summary: 8000, booking: 2000};
 
 /** A whole system on a manual clock, with a record of all that callers were told. */
-export class FuzzWorld {
+export class FuzzHarness {
   readonly clock = new ManualClock();
   readonly network: MemoryNetwork;
   readonly system: LocalSystem;
   readonly requests: SentRequest[] = [];
-  readonly accepted: AcceptedChange[] = [];
-  readonly leaving: LeavingRecord[] = [];
+  readonly acceptedChanges: AcceptedChange[] = [];
+  readonly leavingRecords: LeavingRecord[] = [];
   readonly violations: string[] = [];
   /** Whether the store was ever put back to an older state. */
   wasRestored = false;
@@ -76,19 +76,19 @@
 
   /** Brings the system up with the sample configuration in force. */
   async start(): Promise<void> {
-    await this.finish(this.system.start());
-    await this.finish(this.system.publish());
-    await this.finish(this.system.waitUntilReady());
+    await this.waitForPromise(this.system.start());
+    await this.waitForPromise(this.system.publish());
+    await this.waitForPromise(this.system.waitUntilReady());
     for (const instance of this.system.instances) this.watchRevisions(instance);
-    this.accepted.push({
+    this.acceptedChanges.push({
       changeId: 'setup',
       revision: 1,
-      witnesses: this.listWitnesses(1),
+      instancesInForce: this.listWitnesses(1),
     });
   }
 
   /** Lets time pass until a promise settles. */
-  finish<T>(promise: Promise<T>): Promise<T> {
+  waitForPromise<T>(promise: Promise<T>): Promise<T> {
     return this.clock.advanceUntil(promise, START_LIMIT_MS);
   }
 
@@ -164,7 +164,7 @@
   async killInstance(index: number): Promise<void> {
     const instance = this.getInstance(index);
     this.recordHit(instance);
-    this.network.getGate(instance.id).kill();
+    this.network.getProcess(instance.id).kill();
     await this.network.stopServing(instance.address);
     this.system.removeInstance(instance);
     await this.startInstance();
@@ -173,11 +173,12 @@
   pauseInstance(index: number): void {
     const instance = this.getInstance(index);
     this.recordHit(instance);
-    this.network.getGate(instance.id).pause();
+    this.network.getProcess(instance.id).pause();
   }
 
   resumeInstances(): void {
-    for (const {id} of this.system.instances) this.network.getGate(id).resume();
+    for (const {id} of this.system.instances)
+      this.network.getProcess(id).resume();
   }
 
   /** Stops an instance by plan and starts another in its place. */
@@ -195,12 +196,12 @@
 
   /** The process of an instance that has stopped by plan is gone. */
   private endProcess(instance: LocalInstance): void {
-    this.network.getGate(instance.id).kill();
+    this.network.getProcess(instance.id).kill();
     void this.network.stopServing(instance.address);
   }
 
   /** The platform's list says that an upstream leaves, or that it is live again. */
-  setListed(index: number, isLeaving: boolean): void {
+  setListedLeaving(index: number, isLeaving: boolean): void {
     const {group, upstream} = this.getListedUpstream(index);
     const state = isLeaving ? 'leaving' : 'live';
     this.system.platform.putValue(
@@ -226,10 +227,10 @@
         ({status, body}) => {
           if (status !== 200) return;
           const {revision} = body as {revision: number};
-          this.accepted.push({
+          this.acceptedChanges.push({
             changeId,
             revision,
-            witnesses: this.listWitnesses(revision),
+            instancesInForce: this.listWitnesses(revision),
           });
         },
         () => {},
@@ -264,7 +265,7 @@
       isWatchSilent: false,
       callsPerSecond: 0,
     });
-    this.network.removeCuts();
+    this.network.removePartitions();
     for (const standIn of this.system.listStandIns()) {
       standIn.faults.setSetting({mode: 'ok', slowFactor: 1});
     }
@@ -334,7 +335,7 @@
       deadlineMs: DEADLINES_MS[pipeline ?? 'booking'],
       controller: new AbortController(),
       isCallerGone: false,
-      isInstanceHit: !this.network.getGate(instance.id).isRunning(),
+      isInstanceFaulted: !this.network.getProcess(instance.id).isRunning(),
       outcome: undefined,
       settledAtMs: 0,
     };
@@ -355,21 +356,21 @@
   private recordHit(instance: LocalInstance): void {
     for (const request of this.requests) {
       if (request.instance === instance.id && request.outcome === undefined) {
-        request.isInstanceHit = true;
+        request.isInstanceFaulted = true;
       }
     }
-    for (const change of this.accepted) {
-      change.witnesses.delete(instance.id);
+    for (const change of this.acceptedChanges) {
+      change.instancesInForce.delete(instance.id);
     }
   }
 
   private recordLeaving(upstream: string, isLeaving: boolean): void {
     const nowMs = this.clock.getNow();
-    const open = this.leaving.find(
+    const open = this.leavingRecords.find(
       record => record.upstream === upstream && record.untilMs === Infinity,
     );
     if (isLeaving && !open) {
-      this.leaving.push({upstream, fromMs: nowMs, untilMs: Infinity});
+      this.leavingRecords.push({upstream, fromMs: nowMs, untilMs: Infinity});
     } else if (!isLeaving && open) {
       open.untilMs = nowMs;
     }
--- a/packages/fuzz/src/oracle.ts
+++ b/packages/fuzz/src/oracle.ts
@@ -1,10 +1,10 @@
 import {computeChatAnswer, computeCompletion} from '@hollowstack/stand-ins';
-import {getProblem, type FuzzWorld} from './fuzz-world.ts';
+import {getProblem, type FuzzHarness} from './fuzz-harness.ts';
 import type {SentRequest} from './sent-request.ts';
 
 /** A promise that was not kept. */
 export interface Violation {
-  readonly promise: string;
+  readonly invariant: string;
   readonly detail: string;
 }
 
@@ -17,7 +17,7 @@
 const LEAVING_MARGIN_MS = 3000;
 
 /** Holds what callers were told against what the stand-ins have recorded. */
-export function checkPromises(world: FuzzWorld): Violation[] {
+export function checkInvariants(world: FuzzHarness): Violation[] {
   return [
     ...world.requests.flatMap(request => checkAnswered(request)),
     ...world.requests.flatMap(request => checkWhole(request)),
@@ -30,8 +30,9 @@
 
 function checkAnswered(request: SentRequest): Violation[] {
   if (request.isCallerGone) return [];
-  const {outcome, isInstanceHit, sentAtMs, settledAtMs, deadlineMs} = request;
-  if (isInstanceHit) return [];
+  const {outcome, isInstanceFaulted, sentAtMs, settledAtMs, deadlineMs} =
+    request;
+  if (isInstanceFaulted) return [];
   if (outcome === undefined) {
     return [createViolation('every caller is answered', request, 'nothing')];
   }
@@ -64,14 +65,14 @@
     if (!isRight) {
       return [createViolation('streams are whole', request, outcome.text)];
     }
-    if (!outcome.isWhole && !outcome.problem && !request.isInstanceHit) {
+    if (!outcome.isWhole && !outcome.problem && !request.isInstanceFaulted) {
       return [createViolation('streams have an end', request, outcome.text)];
     }
   }
   return [];
 }
 
-function checkNotRun(world: FuzzWorld): Violation[] {
+function checkNotRun(world: FuzzHarness): Violation[] {
   const ranIds = new Set(
     world.system
       .listStandIns()
@@ -87,7 +88,7 @@
   });
 }
 
-function checkAtMostOnce(world: FuzzWorld): Violation[] {
+function checkAtMostOnce(world: FuzzHarness): Violation[] {
   const bookings = world.requests.filter(({kind}) => kind === 'booking');
   return bookings.flatMap(request => {
     const body = JSON.stringify({id: request.subject});
@@ -107,8 +108,8 @@
   });
 }
 
-function checkLeaving(world: FuzzWorld): Violation[] {
-  return world.leaving.flatMap(({upstream, fromMs, untilMs}) => {
+function checkLeaving(world: FuzzHarness): Violation[] {
+  return world.leavingRecords.flatMap(({upstream, fromMs, untilMs}) => {
     const found = world
       .listUpstreams()
       .find(candidate => candidate.upstream.id === upstream);
@@ -121,24 +122,24 @@
     if (!late || late.length === 0 || world.isListHidden) return [];
     return [
       {
-        promise: 'a leaving upstream gets no new work',
+        invariant: 'a leaving upstream gets no new work',
         detail: `${upstream}: ${late.length} after ${LEAVING_MARGIN_MS} ms`,
       },
     ];
   });
 }
 
-function checkConfiguration(world: FuzzWorld): Violation[] {
+function checkConfiguration(world: FuzzHarness): Violation[] {
   const reverted = world.violations.map(detail => ({
-    promise: 'a configuration never reverts',
+    invariant: 'a configuration never reverts',
     detail,
   }));
   // A change that the store lost and whose every witness is gone is lost for
   // good; docs/PROOFS.md says so.
-  const kept = world.accepted.filter(
-    ({witnesses}) =>
+  const kept = world.acceptedChanges.filter(
+    ({instancesInForce}) =>
       !world.wasRestored ||
-      world.system.instances.some(({id}) => witnesses.has(id)),
+      world.system.instances.some(({id}) => instancesInForce.has(id)),
   );
   const held = world.system.instances.map(({daemon}) =>
     daemon.parts.holder.getRevision(),
@@ -147,15 +148,15 @@
   const behind = world.system.instances
     .filter(({daemon}) => daemon.parts.holder.getRevision() < newest)
     .map(({id, daemon}) => ({
-      promise: 'an accepted configuration is in force everywhere',
+      invariant: 'an accepted configuration is in force everywhere',
       detail: `${id} has ${daemon.parts.holder.getRevision()}, accepted was ${newest}`,
     }));
-  const revisions = world.accepted
+  const revisions = world.acceptedChanges
     .filter(({revision}) => revision > 1)
     .map(({revision}) => revision);
   const isDoubled = new Set(revisions).size < revisions.length;
   const doubled = isDoubled
-    ? [{promise: 'a revision is one change', detail: revisions.join(', ')}]
+    ? [{invariant: 'a revision is one change', detail: revisions.join(', ')}]
     : [];
   return [...reverted, ...behind, ...doubled];
 }
@@ -168,7 +169,7 @@
   const {kind, subject, instance, outcome} = request;
   const problem = outcome && getProblem(outcome);
   return {
-    promise,
+    invariant: promise,
     detail: `${kind} "${subject}" at ${instance}: ${detail} ${problem ? JSON.stringify(problem) : ''}`,
   };
 }
--- a/packages/fuzz/src/placement-holder.test.ts
+++ b/packages/fuzz/src/placement-holder.test.ts
@@ -7,7 +7,7 @@
   createSampleConfiguration,
   createSeededRandom,
 } from '@hollowstack/local-system';
-import {HOLDER_KEY} from '@hollowstack/placement';
+import {PLACEMENT_HOLDER_KEY} from '@hollowstack/placement';
 
 const LIMIT_MS = 30_000;
 
@@ -83,16 +83,16 @@
     const placed = await startPlaced(1, checksFence);
     const {clock, network, system} = placed;
     await clock.advance(20_000);
-    const former = system.platform.getValue(HOLDER_KEY)!;
-    network.getGate(former).pause();
+    const former = system.platform.getValue(PLACEMENT_HOLDER_KEY)!;
+    network.getProcess(former).pause();
     const other = system.instances.findIndex(({id}) => id !== former);
     system.instances.unshift(...system.instances.splice(other, 1));
     await publishCopies(placed, 3, checksFence);
     await clock.advance(40_000);
-    const next = system.platform.getValue(HOLDER_KEY);
+    const next = system.platform.getValue(PLACEMENT_HOLDER_KEY);
     assert.notEqual(next, former);
     assert.equal(countHolders(placed), 3);
-    network.getGate(former).resume();
+    network.getProcess(former).resume();
     await clock.advance(20_000);
     for (const {standIn} of system.engines) {
       const fences = standIn.orders.listApplied().map(({fence}) => fence);
--- a/packages/fuzz/src/run-fuzz.ts
+++ b/packages/fuzz/src/run-fuzz.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import {createCommandArbitrary, type FuzzCommand} from './commands.ts';
-import {FuzzWorld} from './fuzz-world.ts';
-import {checkPromises} from './oracle.ts';
+import {FuzzHarness} from './fuzz-harness.ts';
+import {checkInvariants} from './oracle.ts';
 
 /** How much to fuzz. */
 export interface FuzzOptions {
@@ -56,17 +56,17 @@
 export async function runCommands(
   worldSeed: number,
   commands: Iterable<FuzzCommand>,
-): Promise<FuzzWorld> {
-  const world = new FuzzWorld(worldSeed);
+): Promise<FuzzHarness> {
+  const world = new FuzzHarness(worldSeed);
   await world.start();
   const setup = () => ({model: {requests: 0}, real: world});
   await fc.asyncModelRun(setup, commands);
   await world.endFaults(HEAL_MS);
-  const violations = checkPromises(world);
+  const violations = checkInvariants(world);
   await world.system.stop();
   if (violations.length > 0) {
     const lines = violations.map(
-      ({promise, detail}) => `${promise}: ${detail}`,
+      ({invariant, detail}) => `${invariant}: ${detail}`,
     );
     throw new Error(lines.join('\n'));
   }
--- a/packages/fuzz/src/sent-request.ts
+++ b/packages/fuzz/src/sent-request.ts
@@ -27,7 +27,7 @@
   /** Whether the caller itself went away. */
   isCallerGone: boolean;
   /** Whether its instance was killed or paused meanwhile. */
-  isInstanceHit: boolean;
+  isInstanceFaulted: boolean;
   outcome: Outcome | undefined;
   settledAtMs: number;
 }
--- a/packages/gateway/src/attempt-runner.ts
+++ b/packages/gateway/src/attempt-runner.ts
@@ -9,14 +9,14 @@
 import type {PromptPart} from '@hollowstack/types';
 import type {UpstreamSignals} from '@hollowstack/upstream-signals';
 import {Attempt, type AttemptOutcome} from './attempt.ts';
-import type {CrashSigns} from './crash-signs.ts';
-import type {EngineAssignment} from './engine-assigner.ts';
+import type {CrashReporter} from './crash-reporter.ts';
+import type {UpstreamAssignment} from './engine-assigner.ts';
 import type {LimitedSends} from './limited-sends.ts';
 import {InputsLostError, type ReleasableInputs} from './releasable-inputs.ts';
 import type {PolicySettings} from './gateway-settings.ts';
 import type {RequestProtocol} from './request-protocol.ts';
 import type {RoutedRequest} from './routed-request.ts';
-import {createUnavailable} from './unavailable.ts';
+import {createUnavailableError} from './unavailable-error.ts';
 import type {UpstreamChooser} from './upstream-chooser.ts';
 import type {UpstreamPool} from './upstream-pool.ts';
 import type {UpstreamRegistry} from './upstream-registry.ts';
@@ -34,8 +34,8 @@
   readonly limitedSends: LimitedSends;
   readonly retryBudget: WindowRetryBudget;
   readonly quarantine: RequestQuarantine;
-  readonly isolated: IsolatedAttempts;
-  readonly crashSigns: CrashSigns;
+  readonly isolatedAttempts: IsolatedAttempts;
+  readonly crashReporter: CrashReporter;
   readonly policy: PolicySettings;
 }
 
@@ -57,17 +57,17 @@
 const SILENCE_SHARE = 0.6;
 
 /** What the attempts of a request need beside the request. */
-export interface AttemptNeeds {
+export interface AttemptOptions {
   /** Parts of the prompt, the shared ones first. */
-  readonly parts: readonly PromptPart[];
+  readonly promptParts: readonly PromptPart[];
   /** Bytes of the inputs by the failure domain in which they lie. */
-  readonly inputBytes: ReadonlyMap<string, number>;
+  readonly inputBytesByDomain: ReadonlyMap<string, number>;
   /** Stage results that the upstream reads; undefined for a request without stages. */
   readonly inputs: ReleasableInputs | undefined;
   /** Upstreams that have failed the request. */
   readonly excluded: Set<string>;
   /** Called with the milliseconds from a send to the first event. */
-  readonly handleFirst?: (firstMs: number) => void;
+  readonly handleFirstEvent?: (firstMs: number) => void;
 }
 
 /** Sends a request to upstreams, one after the other, for as long as another attempt may help. */
@@ -84,11 +84,14 @@
    * @throws InputsLostError where the stages have to run again, HollowstackError where the
    * request ends without an answer.
    */
-  async run(request: RoutedRequest, needs: AttemptNeeds): Promise<void> {
-    const {quarantine, isolated} = this.parts;
+  async run(request: RoutedRequest, needs: AttemptOptions): Promise<void> {
+    const {quarantine, isolatedAttempts} = this.parts;
     if (!quarantine.isIsolated(request))
       return this.runAttempts(request, needs);
-    const release = await isolated.acquire(request.service, request.signal);
+    const release = await isolatedAttempts.acquire(
+      request.service,
+      request.signal,
+    );
     try {
       await this.runAttempts(request, needs);
     } finally {
@@ -98,7 +101,7 @@
 
   private async runAttempts(
     request: RoutedRequest,
-    needs: AttemptNeeds,
+    needs: AttemptOptions,
   ): Promise<void> {
     const {retryBudget, quarantine} = this.parts;
     const {inputs, excluded} = needs;
@@ -119,7 +122,7 @@
         if (retryBudget.acquireRetry(request.facts.service)) {
           throw new InputsLostError(outcome.reason, request);
         }
-        throw createUnavailable(request, outcome.reason);
+        throw createUnavailableError(request, outcome.reason);
       }
       excluded.add(upstream.id);
       if (isUnsent(outcome)) {
@@ -129,22 +132,31 @@
         if (!inputs?.isReleased) continue;
         throw new InputsLostError(outcome.reason, request);
       }
-      if (outcome.type === 'failed' && outcome.passOn) {
-        outcome.passOn();
+      if (outcome.type === 'failed' && outcome.deliverFailure) {
+        outcome.deliverFailure();
         return;
       }
       const shortage = this.parts.pool.findShortage(request.facts.service);
-      throw createUnavailable(request, outcome.reason, shortage?.retryAfterMs);
+      throw createUnavailableError(
+        request,
+        outcome.reason,
+        shortage?.retryAfterMs,
+      );
     }
   }
 
   // One that may crash its upstream goes where it runs alone, if there is such a place.
   private chooseUpstream(
     request: RoutedRequest,
-    {parts, inputBytes, excluded}: AttemptNeeds,
-  ): Promise<EngineAssignment | undefined> {
+    {promptParts, inputBytesByDomain, excluded}: AttemptOptions,
+  ): Promise<UpstreamAssignment | undefined> {
     const {pool, quarantine, chooser} = this.parts;
-    const need = {parts, inputBytes, excluded, isFinal: true};
+    const need = {
+      promptParts,
+      inputBytesByDomain,
+      excluded,
+      isFinal: true,
+    };
     if (!quarantine.isIsolated(request)) return chooser.choose(request, need);
     const {service} = request;
     const busy = new Set([...excluded, ...pool.listBusy(service)]);
@@ -154,7 +166,7 @@
 
   private createNoneLeft(request: RoutedRequest): HollowstackError {
     const shortage = this.parts.pool.findShortage(request.facts.service);
-    return createUnavailable(
+    return createUnavailableError(
       request,
       shortage?.reason ?? 'no upstream left',
       shortage?.retryAfterMs,
@@ -181,7 +193,7 @@
     const upstream = pool.getRecord(request.sentTo[0]);
     if (!upstream || pool.maySend(upstream.id)) return upstream;
     const waitMs = pool.getWaitMs(upstream.id);
-    throw createUnavailable(
+    throw createUnavailableError(
       request,
       waitMs > 0
         ? 'the only upstream that may still get it wants no work'
@@ -193,11 +205,11 @@
   private async attemptOnce(
     request: RoutedRequest,
     upstreamId: string,
-    {inputs, handleFirst}: AttemptNeeds,
+    {inputs, handleFirstEvent}: AttemptOptions,
   ): Promise<AttemptOutcome> {
     const {clock, protocol, pool, registry, signals, chooser, policy} =
       this.parts;
-    const {quarantine, crashSigns, limitedSends} = this.parts;
+    const {quarantine, crashReporter, limitedSends} = this.parts;
     const upstream = pool.getRecord(upstreamId);
     request.registryState = registry.getState();
     if (!upstream || !pool.maySend(upstreamId)) {
@@ -215,16 +227,17 @@
         limitedSends.takeGrant(request, upstreamId) &&
         pool.acquireSend(upstreamId),
       inputs,
-      releasesAtFirst: policy.earlyRelease || !request.facts.route.isResumable,
-      handleFirst: firstMs => {
-        request.recordFirst(clock.getNow());
-        chooser.recordFirst(request, upstreamId, firstMs);
-        handleFirst?.(firstMs);
+      releasesAtFirstEvent:
+        policy.earlyRelease || !request.facts.route.isResumable,
+      handleFirstEvent: firstMs => {
+        request.recordFirstEvent(clock.getNow());
+        chooser.recordFirstEvent(request, upstreamId, firstMs);
+        handleFirstEvent?.(firstMs);
       },
-      silence: {
-        limitMs: this.computeSilenceMs(request),
-        handleSilence: () => {
-          crashSigns.recordSilence(sent);
+      inactivity: {
+        timeoutMs: this.computeSilenceMs(request),
+        handleTimeout: () => {
+          crashReporter.recordUnresponsive(sent);
           return this.handleSilence(request, upstreamId);
         },
       },
@@ -234,7 +247,7 @@
     try {
       const outcome = await attempt.run();
       chooser.recordOutcome(request, upstreamId, outcome);
-      crashSigns.recordOutcome(sent, outcome);
+      crashReporter.recordOutcome(sent, outcome);
       return outcome;
     } finally {
       pool.endRequest(upstreamId);
@@ -255,7 +268,7 @@
   private handleSilence(request: RoutedRequest, upstreamId: string): boolean {
     const {chooser, pool, retryBudget} = this.parts;
     const {route, service} = request.facts;
-    chooser.recordSilence(request, upstreamId);
+    chooser.recordUnresponsive(request, upstreamId);
     const hasAttempt = request.sentTo.length < route.maxAttempts;
     if (!hasAttempt || !isRepeatable(route)) return false;
     const others = pool.listCandidates(service, new Set(request.sentTo));
@@ -270,8 +283,9 @@
     const {route, service} = request.facts;
     if (request.sentTo.length >= route.maxAttempts) return false;
     if (outcome.type === 'failed') {
-      if (!isRepeatable(route) || outcome.isOwnEnd) return false;
-      if (outcome.isBroken && quarantine.isIsolated(request)) return false;
+      if (!isRepeatable(route) || outcome.isLocallyAborted) return false;
+      if (outcome.hasLostConnection && quarantine.isIsolated(request))
+        return false;
       if (request.outgoing.headersSent && !route.isResumable) return false;
     }
     return this.parts.retryBudget.acquireRetry(service);
@@ -283,7 +297,7 @@
     outcome: Exclude<AttemptOutcome, {type: 'answered'}>,
   ): void {
     const {requestId, service, workspace} = request.facts;
-    const isBroken = outcome.type === 'failed' && outcome.isBroken;
+    const isBroken = outcome.type === 'failed' && outcome.hasLostConnection;
     this.parts.logger.logEvent('attempt.failed', {
       requestId,
       service,
@@ -302,6 +316,6 @@
 function isUnsent(outcome: AttemptOutcome): boolean {
   return (
     outcome.type === 'unsent' ||
-    (outcome.type === 'not-run' && outcome.isOtherUpstream)
+    (outcome.type === 'not-run' && outcome.isMisdirected)
   );
 }
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -41,14 +41,14 @@
   /** Stage results that the upstream reads; undefined for a request without stages. */
   readonly inputs: AttemptInputs | undefined;
   /** Whether the inputs are released at the first event of a stream. */
-  readonly releasesAtFirst: boolean;
+  readonly releasesAtFirstEvent: boolean;
   /** Called with the milliseconds to the first event of a stream. */
-  readonly handleFirst: (firstMs: number) => void;
-  readonly silence: {
+  readonly handleFirstEvent: (firstMs: number) => void;
+  readonly inactivity: {
     /** Milliseconds without a byte after which the upstream counts as silent. */
-    readonly limitMs: number;
+    readonly timeoutMs: number;
     /** Returns whether the attempt is given up for another one. */
-    readonly handleSilence: () => boolean;
+    readonly handleTimeout: () => boolean;
   };
 }
 
@@ -70,7 +70,7 @@
       readonly type: 'not-run';
       readonly reason: string;
       /** Whether the upstream that was meant is no longer there. */
-      readonly isOtherUpstream: boolean;
+      readonly isMisdirected: boolean;
       /** Whether a result that the request reads was lost. */
       readonly isInputGone: boolean;
     }
@@ -79,11 +79,11 @@
       readonly type: 'failed';
       readonly reason: string;
       /** Whether this side ended the attempt, which says nothing of the upstream. */
-      readonly isOwnEnd: boolean;
+      readonly isLocallyAborted: boolean;
       /** Whether the connection ended under it, as it does where the upstream crashes. */
-      readonly isBroken: boolean;
+      readonly hasLostConnection: boolean;
       /** Sends the upstream's own failure on, where it gave a whole one. */
-      readonly passOn?: () => void;
+      readonly deliverFailure?: () => void;
     };
 
 /**
@@ -144,7 +144,7 @@
       this.recordSignals(head);
       const outcome = await this.handleHead(head, call);
       if (outcome.type === 'not-run') request.recordNotRun(ranBefore);
-      if (outcome.type === 'not-run' && outcome.isOtherUpstream) {
+      if (outcome.type === 'not-run' && outcome.isMisdirected) {
         request.sentTo.pop();
       }
       return outcome;
@@ -152,7 +152,7 @@
       const isUnsent =
         error instanceof TransportError && error.progress === 'none';
       const reason = error instanceof Error ? error.message : String(error);
-      if (isUnsent && !call.mayHaveLeft()) {
+      if (isUnsent && !call.mayHaveBeenSent()) {
         request.sentTo.pop();
         request.recordNotRun(ranBefore);
         const isRefused = isConnectionRefused(error);
@@ -160,7 +160,12 @@
       }
       const isOwnEnd = request.signal.aborted;
       const isBroken = !call.hasCancelled() && isConnectionLost(error);
-      return {type: 'failed', reason, isOwnEnd, isBroken};
+      return {
+        type: 'failed',
+        reason,
+        isLocallyAborted: isOwnEnd,
+        hasLostConnection: isBroken,
+      };
     } finally {
       request.signal.removeEventListener('abort', cancelCall);
       this.silenceTimer?.cancel();
@@ -181,10 +186,10 @@
 
   // An upstream may die without a word, or run a request and lose its answer.
   private watchSilence(call: SingleCall): void {
-    const {clock, silence} = this.parts;
+    const {clock, inactivity} = this.parts;
     this.silenceTimer?.cancel();
-    this.silenceTimer = clock.schedule(silence.limitMs, () => {
-      if (silence.handleSilence()) call.cancel('the upstream is silent');
+    this.silenceTimer = clock.schedule(inactivity.timeoutMs, () => {
+      if (inactivity.handleTimeout()) call.cancel('the upstream is silent');
     });
   }
 
@@ -224,7 +229,7 @@
       return {
         type: 'not-run',
         reason: `answered ${status}, not run`,
-        isOtherUpstream: status === MISDIRECTED,
+        isMisdirected: status === MISDIRECTED,
         isInputGone: status === INPUT_GONE,
       };
     }
@@ -264,7 +269,7 @@
     if (status >= 500) {
       return {
         ...createFailure(`answered ${status}`),
-        passOn: outgoing.headersSent
+        deliverFailure: outgoing.headersSent
           ? undefined
           : () => writeUpstreamAnswer(outgoing, head, body),
       };
@@ -288,11 +293,11 @@
       this.watchSilence(call);
       if (firstMs !== undefined) return;
       firstMs = this.getPassedMs();
-      this.parts.handleFirst(firstMs);
+      this.parts.handleFirstEvent(firstMs);
       // The first event proves that the upstream has read its inputs. Keeping
       // them for a possible resumption would occupy their makers for the whole
       // stream; a stream that breaks off has its stages run again instead.
-      if (this.parts.releasesAtFirst) inputs?.release();
+      if (this.parts.releasesAtFirstEvent) inputs?.release();
     });
     await relay.run();
     return {type: 'answered', firstMs: firstMs ?? this.getPassedMs()};
@@ -306,7 +311,12 @@
 function createFailure(
   reason: string,
 ): Extract<AttemptOutcome, {type: 'failed'}> {
-  return {type: 'failed', reason, isOwnEnd: false, isBroken: false};
+  return {
+    type: 'failed',
+    reason,
+    isLocallyAborted: false,
+    hasLostConnection: false,
+  };
 }
 
 function isSuccess(status: number): boolean {
--- a/packages/gateway/src/cached-prompts-reader.ts
+++ b/packages/gateway/src/cached-prompts-reader.ts
@@ -10,7 +10,7 @@
 import type {EngineProtocol} from './engine-protocol.ts';
 
 /** What the reader works with. */
-export interface KeptPromptsReaderParts {
+export interface CachedPromptsReaderParts {
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly directory: EngineDirectory;
@@ -34,11 +34,11 @@
  * Asks each engine once what it keeps, when this instance begins to assign
  * requests: whoever did so before may be gone with what it knew.
  */
-export class KeptPromptsReader {
-  private readonly parts: KeptPromptsReaderParts;
+export class CachedPromptsReader {
+  private readonly parts: CachedPromptsReaderParts;
   private readonly asked = new Set<string>();
 
-  constructor(parts: KeptPromptsReaderParts) {
+  constructor(parts: CachedPromptsReaderParts) {
     this.parts = parts;
   }
 
@@ -46,7 +46,7 @@
    * Asks the engines of a service that were not asked yet; does not wait for them. One
    * that wants no work now is asked later.
    */
-  readService(service: string): void {
+  readCachedPrompts(service: string): void {
     for (const engine of this.parts.directory.listEngines(service)) {
       if (this.asked.has(engine.id) || !this.parts.mayAsk(engine.id)) continue;
       this.asked.add(engine.id);
@@ -57,7 +57,7 @@
   private async readEngine(engine: RegisteredUpstream): Promise<void> {
     const {clock, logger, directory, protocol, signals} = this.parts;
     const {id, address} = engine;
-    const request = protocol.createKeptRequest(address);
+    const request = protocol.createCacheContentsRequest(address);
     const sentAtMs = clock.getNow();
     try {
       const {head, body} = await callForWholeAnswer(
@@ -72,8 +72,8 @@
         sentAtMs,
       });
       if (head.statusCode !== 200) return;
-      const kept = protocol.parseKept(body.toString('utf8'));
-      directory.recordKept(id, kept);
+      const kept = protocol.parseCacheContents(body.toString('utf8'));
+      directory.recordCachedParts(id, kept);
       logger.logEvent('engine.kept', {upstream: id, parts: kept.length});
     } catch {
       // Without the answer the engine counts as empty, which costs reading only.
--- a/packages/gateway/src/content-revision.ts
+++ b/packages/gateway/src/content-revision.ts
@@ -29,7 +29,7 @@
   }
 
   /** Notes a reading that belongs to the current watch. */
-  recordReading(storeRevision: number): void {
+  recordFullRead(storeRevision: number): void {
     this.hasGap = false;
     this.recordChange(storeRevision);
   }
--- a/packages/gateway/src/coordinator-search.ts
+++ b/packages/gateway/src/coordinator-search.ts
@@ -1,6 +1,6 @@
 import {RepeatingTask, type Clock} from '@hollowstack/clock';
 import {
-  listUnconfirmedRivals,
+  listUnconfirmedCandidates,
   type Membership,
   type PeerLink,
   type PeerRecord,
@@ -77,7 +77,7 @@
   }
 
   private askRivals(): void {
-    const rivals = listUnconfirmedRivals(
+    const rivals = listUnconfirmedCandidates(
       this.parts.membership,
       this.getRoundMs() * BAN_SHARE,
     );
@@ -94,7 +94,7 @@
       .catch((): undefined => undefined);
     this.asked.delete(id);
     if (reply?.type === 'done') {
-      membership.recordHeard(rival);
+      membership.recordContact(rival);
       return;
     }
     membership.recordUnreachable(id);
--- a/packages/gateway/src/crash-reporter.ts
+++ b/packages/gateway/src/crash-reporter.ts
@@ -14,17 +14,17 @@
 }
 
 /** Dependencies of CrashSigns. */
-export interface CrashSignsParts {
+export interface CrashReporterParts {
   readonly clock: Clock;
   readonly pool: Pick<UpstreamPool, 'getRecord'>;
   readonly quarantine: RequestQuarantine;
 }
 
 /** Tells the quarantine what attempts show of their requests and of upstreams' processes. */
-export class CrashSigns {
-  private readonly parts: CrashSignsParts;
+export class CrashReporter {
+  private readonly parts: CrashReporterParts;
 
-  constructor(parts: CrashSignsParts) {
+  constructor(parts: CrashReporterParts) {
     this.parts = parts;
   }
 
@@ -36,20 +36,20 @@
       .with({type: 'answered'}, () => quarantine.recordServed(request))
       .with({type: 'failed', isBroken: true}, () => this.recordBroken(sent))
       // The upstream lived to tell of its failure.
-      .with({type: 'failed'}, ({passOn}) => {
-        if (passOn) quarantine.recordServed(request);
+      .with({type: 'failed'}, ({deliverFailure}) => {
+        if (deliverFailure) quarantine.recordServed(request);
       })
       .with({type: 'unsent', isRefused: true}, () =>
-        quarantine.recordRefused(upstream.id),
+        quarantine.recordRefusedConnection(upstream.id),
       )
       .with({type: 'not-run', isOtherUpstream: true}, () =>
-        quarantine.recordRefused(upstream.id),
+        quarantine.recordRefusedConnection(upstream.id),
       )
       .otherwise(() => {});
   }
 
   /** Notes that an upstream has been silent for too long. */
-  recordSilence(sent: SentAttempt): void {
+  recordUnresponsive(sent: SentAttempt): void {
     this.recordBroken(sent);
   }
 
--- a/packages/gateway/src/create-freshness-guard.ts
+++ b/packages/gateway/src/create-freshness-guard.ts
@@ -1,15 +1,15 @@
 import {
   FreshnessGuard,
-  RefreshWay,
+  ViewRefresher,
   type FreshnessTable,
   type PeerReach,
 } from '@hollowstack/freshness';
 import type {KeyValueStore} from '@hollowstack/store';
-import type {CopyExchange} from './copy-exchange.ts';
+import type {GossipExchange} from './gossip-exchange.ts';
 import type {GatewayEnvironment} from './create-gateway.ts';
 
 /** Has the store's watch, or the peers that pass its changes on, asked at once. */
-class WatchRefresh extends RefreshWay {
+class WatchRefresh extends ViewRefresher {
   private readonly store: KeyValueStore;
 
   constructor(store: KeyValueStore) {
@@ -24,12 +24,12 @@
 }
 
 /** Compares with a peer at once. */
-class PeerRefresh extends RefreshWay {
-  private readonly exchange: Pick<CopyExchange, 'refreshView'>;
+class PeerRefresh extends ViewRefresher {
+  private readonly exchange: Pick<GossipExchange, 'refreshView'>;
   private readonly which: 'far' | 'near';
 
   constructor(
-    exchange: Pick<CopyExchange, 'refreshView'>,
+    exchange: Pick<GossipExchange, 'refreshView'>,
     which: 'far' | 'near',
   ) {
     super();
@@ -52,7 +52,7 @@
   parts: {
     readonly table: FreshnessTable;
     readonly store: KeyValueStore;
-    readonly exchange: CopyExchange;
+    readonly exchange: GossipExchange;
   },
 ): FreshnessGuard {
   const {table, store, exchange} = parts;
@@ -64,5 +64,5 @@
     new PeerRefresh(exchange, 'far'),
     new PeerRefresh(exchange, 'near'),
   ];
-  return new FreshnessGuard({clock, logger, metrics, table, ways});
+  return new FreshnessGuard({clock, logger, metrics, table, refreshers: ways});
 }
--- a/packages/gateway/src/create-gateway.ts
+++ b/packages/gateway/src/create-gateway.ts
@@ -5,7 +5,7 @@
 import type {MetricsRegistry} from '@hollowstack/metrics';
 import {
   KeyRing,
-  NoteQueue,
+  NotificationQueue,
   PeerLink,
   chooseCoordinator,
   type PeerNetwork,
@@ -16,7 +16,7 @@
   StageDispatcher,
   type StageProtocol,
 } from '@hollowstack/stages';
-import {IsolatedAttempts, VerdictKeeper} from '@hollowstack/quarantine';
+import {IsolatedAttempts, VerdictPersister} from '@hollowstack/quarantine';
 import {CheckpointWriter, OrphanReleaser} from '@hollowstack/result-checkpoint';
 import type {KeyValueStore} from '@hollowstack/store';
 import {LimitTable} from '@hollowstack/upstream-limits';
@@ -27,20 +27,20 @@
 } from '@hollowstack/upstream-signals';
 import {AttemptRunner} from './attempt-runner.ts';
 import {CoordinatorSearch} from './coordinator-search.ts';
-import {CrashSigns} from './crash-signs.ts';
+import {CrashReporter} from './crash-reporter.ts';
 import {createLimits} from './create-limits.ts';
 import {createQuarantine} from './create-quarantine.ts';
 import {createStoreView} from './create-store-view.ts';
 import {EngineAssigner} from './engine-assigner.ts';
 import type {EngineProtocol} from './engine-protocol.ts';
 import {EvacuatedDomains} from './evacuated-domains.ts';
-import {GatewayFront} from './gateway-front.ts';
+import {GatewayRequestHandler} from './gateway-request-handler.ts';
 import {GatewayLifecycle} from './gateway-lifecycle.ts';
-import {GatewayPeerRequests} from './gateway-peer-requests.ts';
+import {GatewayPeerRequestHandler} from './gateway-peer-request-handler.ts';
 import {GatewayServer} from './gateway-server.ts';
 import type {GatewaySettings} from './gateway-settings.ts';
 import {Gateway} from './gateway.ts';
-import {KeptPromptsReader} from './kept-prompts-reader.ts';
+import {CachedPromptsReader} from './cached-prompts-reader.ts';
 import {LimitedSends} from './limited-sends.ts';
 import {OperatorEndpoint} from './operator-endpoint.ts';
 import type {RequestProtocol} from './request-protocol.ts';
@@ -97,7 +97,7 @@
     settings,
     environment,
     link,
-    holder,
+    routeHolder: holder,
     registry,
     evacuated,
     suspects,
@@ -111,9 +111,9 @@
     membership,
   );
   const backOffs = new BackOffTable({clock, logger});
-  registry.addRestartListener(({before, after, startedAtMs}) => {
-    backOffs.replaceLife(before, after, startedAtMs);
-    limits.replaceLife(before, after, startedAtMs);
+  registry.addRestartListener(({previousId, newId, startedAtMs}) => {
+    backOffs.replaceIncarnation(previousId, newId, startedAtMs);
+    limits.replaceIncarnation(previousId, newId, startedAtMs);
   });
   const signals = new UpstreamSignals({
     logger,
@@ -137,9 +137,9 @@
     limiter,
     freshnessGuard,
     random,
-    releasesRead: settings.policy.readRelease,
+    releasesInputsEarly: settings.policy.readRelease,
   });
-  const notes = new NoteQueue({clock, link});
+  const notes = new NotificationQueue({clock, link});
   const dispatcher = new StageDispatcher({
     clock,
     logger,
@@ -149,7 +149,7 @@
     local: coordinator,
   });
   const directory = new EngineDirectory(getNow, id => limiter.isLimited(id));
-  const keptPrompts = new KeptPromptsReader({
+  const keptPrompts = new CachedPromptsReader({
     clock,
     logger,
     directory,
@@ -172,7 +172,7 @@
       notes,
       membership,
       local: directory,
-      keptPrompts,
+      cachedPrompts: keptPrompts,
     }),
     freshnessGuard,
     random,
@@ -206,12 +206,12 @@
       limitedSends,
       retryBudget,
       quarantine,
-      isolated: new IsolatedAttempts(clock),
-      crashSigns: new CrashSigns({clock, pool, quarantine}),
+      isolatedAttempts: new IsolatedAttempts(clock),
+      crashReporter: new CrashReporter({clock, pool, quarantine}),
       policy: settings.policy,
     }),
   });
-  const front = new GatewayFront({
+  const front = new GatewayRequestHandler({
     clock,
     logger,
     metrics,
@@ -248,10 +248,10 @@
     clock,
     random,
   });
-  const peerRequests = new GatewayPeerRequests({
+  const peerRequests = new GatewayPeerRequestHandler({
     coordinator,
     directory,
-    keptPrompts,
+    cachedPrompts: keptPrompts,
     exchange,
     lifecycle,
     relay,
@@ -265,13 +265,13 @@
     holder.getRevision(),
   );
   metrics.setGauge('hollowstack_requests_in_progress', {}, () =>
-    lifecycle.getInProgress(),
+    lifecycle.countInProgress(),
   );
   metrics.setGauge('hollowstack_stage_jobs_waiting', {}, () =>
     coordinator.getWaitingCount(),
   );
   metrics.setGauge('hollowstack_upstreams_backing_off', {}, () =>
-    backOffs.countWaiting(),
+    backOffs.countBackingOff(),
   );
   metrics.setGauge('hollowstack_upstreams_leaving', {}, () =>
     registry.countLeaving(),
@@ -281,7 +281,7 @@
   );
 
   const isCoordinator = () => chooseCoordinator(membership) === undefined;
-  const verdictKeeper = new VerdictKeeper({
+  const verdictPersister = new VerdictPersister({
     clock,
     logger,
     random,
@@ -299,7 +299,7 @@
   const checkpointTasks = [
     new CheckpointWriter({
       ...checkpointParts,
-      listHeld: () => coordinator.listOwnedResults(),
+      listStoredResults: () => coordinator.listOwnedResults(),
     }),
     new OrphanReleaser({
       ...checkpointParts,
@@ -329,8 +329,8 @@
     granter,
     coordinator,
     coordinatorTasks: settings.policy.resultCheckpoints
-      ? [verdictKeeper, ...checkpointTasks]
-      : [verdictKeeper],
+      ? [verdictPersister, ...checkpointTasks]
+      : [verdictPersister],
     server,
     operatorEndpoint: new OperatorEndpoint({
       suspects,
--- a/packages/gateway/src/create-store-view.ts
+++ b/packages/gateway/src/create-store-view.ts
@@ -1,11 +1,15 @@
 import {FreshnessTable, type FreshnessGuard} from '@hollowstack/freshness';
 import type {SuspectTable} from '@hollowstack/quarantine';
 import {Membership, PEER_PREFIX, type PeerLink} from '@hollowstack/peers';
-import {WatchHub, createPrefixRange, type WatchPace} from '@hollowstack/store';
+import {
+  WatchHub,
+  createPrefixRange,
+  type WatchTiming,
+} from '@hollowstack/store';
 import {RelayServer, RelayedStore} from '@hollowstack/store-relay';
 import type {LimitTable} from '@hollowstack/upstream-limits';
-import {CopyExchange} from './copy-exchange.ts';
-import {createFreshnessGuard} from './create-freshness.ts';
+import {GossipExchange} from './gossip-exchange.ts';
+import {createFreshnessGuard} from './create-freshness-guard.ts';
 import type {EvacuatedDomains} from './evacuated-domains.ts';
 import type {GatewayEnvironment} from './create-gateway.ts';
 import type {GatewaySettings} from './gateway-settings.ts';
@@ -13,7 +17,7 @@
 import type {RouteHolder} from './route-holder.ts';
 import {StoreFollower} from './store-follower.ts';
 import type {UpstreamRegistry} from './upstream-registry.ts';
-import {createWatchPace} from './watch-pace.ts';
+import {createWatchTiming} from './watch-timing.ts';
 
 /** What keeps an instance's view of the store up to date. */
 export interface StoreView {
@@ -21,7 +25,7 @@
   readonly watchHub: WatchHub;
   readonly followers: readonly StoreFollower[];
   /** Compares what is known with peers. */
-  readonly exchange: CopyExchange;
+  readonly exchange: GossipExchange;
   /** Has the view refreshed before something is decided by a stale one. */
   readonly freshness: FreshnessTable;
   readonly freshnessGuard: FreshnessGuard;
@@ -41,7 +45,7 @@
   >;
   readonly link: PeerLink;
   /** Takes configurations. */
-  readonly holder: RouteHolder;
+  readonly routeHolder: RouteHolder;
   /** Takes registrations of upstreams. */
   readonly registry: UpstreamRegistry;
   /** Takes evacuations of failure domains. */
@@ -67,7 +71,7 @@
 
 /** Wires what follows the store: the watch, its relay, and the exchange with peers. */
 export function createStoreView(parts: StoreViewParts): StoreView {
-  const {settings, environment, link, holder, registry, evacuated} = parts;
+  const {settings, environment, link, routeHolder, registry, evacuated} = parts;
   const {suspects, limits} = parts;
   const {clock, logger, random} = environment;
   const {id, failureDomain, cpuShare, cpuSpeed} = settings.instance;
@@ -77,7 +81,7 @@
     settings.store.configureWithinMs,
     settings.store.evacuateWithinMs,
   );
-  const freshness = new FreshnessTable({clock, limitMs: followWithinMs});
+  const freshness = new FreshnessTable({clock, maxAgeMs: followWithinMs});
   const store = new RelayedStore({
     store: environment.store,
     clock,
@@ -100,7 +104,7 @@
     random,
     leaseMs: MEMBER_LEASE_MS,
   });
-  const watchPace = createWatchPace({
+  const watchPace = createWatchTiming({
     followWithinMs,
     getWatcherCount: () => store.countWatchers(),
   });
@@ -109,7 +113,7 @@
     followerParts,
     environment.requestProtocol,
     watchPace,
-    {holder, evacuated, freshness},
+    {routeHolder, evacuated, freshness},
   );
   const registryFollower = createRegistryFollower(
     followerParts,
@@ -128,14 +132,14 @@
   for (const follower of followers) watchHub.addSubscription(follower);
   watchHub.addSubscription(membership);
 
-  const exchange = new CopyExchange({
+  const exchange = new GossipExchange({
     link,
     membership,
     clock,
     logger,
     random,
     seeds: settings.peers.seeds,
-    holder,
+    routeHolder,
     registry,
     evacuated,
     suspects,
@@ -144,9 +148,9 @@
     followWithinMs,
   });
   registry.addMissingListener(() => void exchange.runRound());
-  registry.addToldListener(() => exchange.scheduleTelling());
-  suspects.addNewsListener(() => exchange.scheduleTelling());
-  limits.addNewsListener(() => exchange.scheduleTelling());
+  registry.addLeavingReportListener(() => exchange.schedulePropagation());
+  suspects.addChangeListener(() => exchange.schedulePropagation());
+  limits.addChangeListener(() => exchange.schedulePropagation());
   const relay = new RelayServer({clock, store});
   const freshnessGuard = createFreshnessGuard(environment, {
     table: freshness,
@@ -174,24 +178,24 @@
 function createOperatorFollower(
   parts: FollowerParts,
   {operatorPrefix, configurationKey}: RequestProtocol,
-  watchPace: WatchPace,
+  watchPace: WatchTiming,
   {
-    holder,
+    routeHolder,
     evacuated,
     freshness,
-  }: Pick<StoreViewParts, 'holder' | 'evacuated'> &
+  }: Pick<StoreViewParts, 'routeHolder' | 'evacuated'> &
     Pick<StoreView, 'freshness'>,
 ): StoreFollower {
   return new StoreFollower({
     ...parts,
-    range: {...createPrefixRange(operatorPrefix), watchPace},
-    handleReading: ({keyValues, storeRevision}) => {
-      evacuated.applyReading(keyValues, storeRevision);
+    range: {...createPrefixRange(operatorPrefix), watchTiming: watchPace},
+    handleFullRead: ({keyValues, storeRevision}) => {
+      evacuated.applyFullRead(keyValues, storeRevision);
       for (const {key, value} of keyValues) {
-        if (key === configurationKey) holder.offerText(value, 'store');
+        if (key === configurationKey) routeHolder.offerText(value, 'store');
       }
     },
-    handleKnown: untilMs =>
+    handleKnownUntil: untilMs =>
       freshness.recordKnown('configuration', untilMs, 'watch'),
     handleMissedChanges: () => evacuated.recordMissedChanges(),
     handleOutageEnd: () => evacuated.beginGrace(),
@@ -199,7 +203,7 @@
       evacuated.applyEvents(events);
       for (const {type, key, value} of events) {
         if (type !== 'put' || key !== configurationKey) continue;
-        holder.offerText(value, 'watch');
+        routeHolder.offerText(value, 'watch');
       }
     },
   });
@@ -208,7 +212,7 @@
 function createRegistryFollower(
   parts: FollowerParts,
   prefix: string,
-  watchPace: WatchPace,
+  watchPace: WatchTiming,
   {
     registry,
     freshness,
@@ -216,11 +220,11 @@
 ): StoreFollower {
   return new StoreFollower({
     ...parts,
-    range: {...createPrefixRange(prefix), watchPace},
-    handleReading: ({keyValues, storeRevision}) =>
+    range: {...createPrefixRange(prefix), watchTiming: watchPace},
+    handleFullRead: ({keyValues, storeRevision}) =>
       registry.replaceEntries(keyValues, storeRevision, 'store'),
     handleChanges: events => registry.applyEvents(events),
-    handleKnown: untilMs =>
+    handleKnownUntil: untilMs =>
       freshness.recordKnown('upstreams', untilMs, 'watch'),
     handleMissedChanges: () => registry.recordMissedChanges(),
     handleOutageEnd: () => registry.beginGrace(),
--- a/packages/gateway/src/engine-assigner.ts
+++ b/packages/gateway/src/engine-assigner.ts
@@ -2,24 +2,24 @@
 import {
   chooseCoordinator,
   type Membership,
-  type NoteQueue,
+  type NotificationQueue,
   type PeerLink,
 } from '@hollowstack/peers';
-import type {KeptPromptsReader} from './kept-prompts-reader.ts';
+import type {CachedPromptsReader} from './cached-prompts-reader.ts';
 import type {AssignmentProgress, AssignmentRequest} from '@hollowstack/types';
 
 /** What the assigner works with. */
 export interface EngineAssignerParts {
   readonly link: PeerLink;
-  readonly notes: NoteQueue;
+  readonly notes: NotificationQueue;
   readonly membership: Membership;
   /** This instance's own directory. */
   readonly local: EngineDirectory;
-  readonly keptPrompts: KeptPromptsReader;
+  readonly cachedPrompts: CachedPromptsReader;
 }
 
 /** Where a request should go. */
-export interface EngineAssignment {
+export interface UpstreamAssignment {
   readonly id: string;
   readonly failureDomain: string;
 }
@@ -38,11 +38,11 @@
   /** Returns undefined where nobody knows an engine that could take the request. */
   async askForEngine(
     request: AssignmentRequest,
-  ): Promise<EngineAssignment | undefined> {
+  ): Promise<UpstreamAssignment | undefined> {
     const {link, local, membership} = this.parts;
     const coordinator = chooseCoordinator(membership);
     if (!coordinator) {
-      this.parts.keptPrompts.readService(request.service);
+      this.parts.cachedPrompts.readCachedPrompts(request.service);
       return local.reserveEngine(request);
     }
     const reply = await link
@@ -67,7 +67,10 @@
     if (!coordinator) return;
     // A coordinator that is gone has forgotten the assignment as well.
     notes
-      .sendNote(coordinator.address, {type: 'assignment-progress', progress})
+      .sendNotification(coordinator.address, {
+        type: 'assignment-progress',
+        progress,
+      })
       .catch(() => {});
   }
 }
--- a/packages/gateway/src/engine-protocol.ts
+++ b/packages/gateway/src/engine-protocol.ts
@@ -4,8 +4,8 @@
 /** How engines are asked what they keep; an adapter gives names and formats. */
 export abstract class EngineProtocol {
   /** Encodes the question which parts of prompts an engine keeps. */
-  abstract createKeptRequest(address: string): EncodedRequest;
+  abstract createCacheContentsRequest(address: string): EncodedRequest;
 
   /** Reads the answer; empty where it cannot be read. */
-  abstract parseKept(text: string): PromptPart[];
+  abstract parseCacheContents(text: string): PromptPart[];
 }
--- a/packages/gateway/src/evacuated-domains.test.ts
+++ b/packages/gateway/src/evacuated-domains.test.ts
@@ -12,14 +12,14 @@
     logger: new SilentEventLogger(),
     clock,
   });
-  evacuated.applyReading([{key: 'e/a'}], 5);
+  evacuated.applyFullRead([{key: 'e/a'}], 5);
   return {clock, evacuated};
 }
 
 test('a full read applies missed changes and keeps newer watch events', () => {
   const {evacuated} = createEvacuatedDomains();
   evacuated.applyEvents([{type: 'put', key: 'e/b', value: '', modRevision: 9}]);
-  evacuated.applyReading([{key: 'e/c'}], 8);
+  evacuated.applyFullRead([{key: 'e/c'}], 8);
   assert.deepEqual(evacuated.getState(), {
     storeRevision: 9,
     failureDomains: ['b', 'c'],
@@ -31,7 +31,7 @@
   evacuated.applyEvents([
     {type: 'put', key: 'other', value: '', modRevision: 9},
   ]);
-  evacuated.applyReading([{key: 'e/c'}], 8);
+  evacuated.applyFullRead([{key: 'e/c'}], 8);
   assert.deepEqual(evacuated.getState().failureDomains, ['c']);
 });
 
@@ -40,7 +40,7 @@
   evacuated.applyEvents([{type: 'put', key: 'e/b', value: '', modRevision: 9}]);
   const failureDomains = ['a', 'b', 'p'];
   evacuated.replaceState({storeRevision: 20, failureDomains}, 'peer p');
-  evacuated.applyReading([{key: 'e/a'}], 8);
+  evacuated.applyFullRead([{key: 'e/a'}], 8);
   assert.deepEqual(evacuated.getState(), {storeRevision: 20, failureDomains});
 });
 
@@ -64,7 +64,7 @@
   for (const isRewritten of [true, false]) {
     const {clock, evacuated} = createEvacuatedDomains();
     evacuated.beginGrace();
-    evacuated.applyReading([], NEXT_ERA_REVISION);
+    evacuated.applyFullRead([], NEXT_ERA_REVISION);
     assert.equal(evacuated.isEvacuated('a'), true);
     if (isRewritten) {
       const modRevision = NEXT_ERA_REVISION + 1;
--- a/packages/gateway/src/evacuated-domains.ts
+++ b/packages/gateway/src/evacuated-domains.ts
@@ -95,13 +95,13 @@
   }
 
   /** Takes a whole reading of the operators' keys. */
-  applyReading(
+  applyFullRead(
     keyValues: readonly Pick<KeyValue, 'key'>[],
     storeRevision: number,
   ): void {
     if (storeRevision < this.lastReadRevision) return;
     const failureDomains = keyValues.flatMap(({key}) => this.parseKey(key));
-    this.revision.recordReading(storeRevision);
+    this.revision.recordFullRead(storeRevision);
     this.applyState({storeRevision, failureDomains}, 'store');
   }
 
--- a/packages/gateway/src/event-splitter.ts
+++ b/packages/gateway/src/event-splitter.ts
@@ -4,7 +4,7 @@
 const CARRIAGE_RETURN = 13;
 
 /** Whole events of a stream, and the id of the last one. */
-export interface WholeEvents {
+export interface CompleteEvents {
   readonly bytes: Buffer;
   readonly lastId: string | undefined;
 }
@@ -17,7 +17,7 @@
   private rest: Buffer = Buffer.alloc(0);
 
   /** Takes bytes and returns the events that are whole now, if any. */
-  addBytes(chunk: Buffer): WholeEvents | undefined {
+  addBytes(chunk: Buffer): CompleteEvents | undefined {
     const bytes =
       this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
     const end = findLastEventEnd(bytes);
--- a/packages/gateway/src/gateway-lifecycle.ts
+++ b/packages/gateway/src/gateway-lifecycle.ts
@@ -46,7 +46,7 @@
     return this.state === 'closing';
   }
 
-  getInProgress(): number {
+  countInProgress(): number {
     return this.open.size;
   }
 
@@ -60,7 +60,7 @@
    * Adds a function that refuses a request if nothing of it was sent to an
    * upstream yet; the returned function removes it.
    */
-  addRefusal(refuse: () => void): () => void {
+  addRejectHandler(refuse: () => void): () => void {
     this.refusals.add(refuse);
     return () => this.refusals.delete(refuse);
   }
--- a/packages/gateway/src/gateway-peer-request-handler.ts
+++ b/packages/gateway/src/gateway-peer-request-handler.ts
@@ -1,20 +1,24 @@
 import type {EngineDirectory} from '@hollowstack/assignment';
 import type {FreshnessGuard} from '@hollowstack/freshness';
-import type {PeerNote, PeerReply, PeerRequest} from '@hollowstack/peers';
+import type {
+  PeerNotification,
+  PeerReply,
+  PeerRequest,
+} from '@hollowstack/peers';
 import type {StageCoordinator} from '@hollowstack/stages';
 import type {RelayServer} from '@hollowstack/store-relay';
 import type {LimitTable, SendGranter} from '@hollowstack/upstream-limits';
 import {match} from 'ts-pattern';
-import type {CopyExchange} from './copy-exchange.ts';
-import type {KeptPromptsReader} from './kept-prompts-reader.ts';
+import type {GossipExchange} from './gossip-exchange.ts';
+import type {CachedPromptsReader} from './cached-prompts-reader.ts';
 import type {GatewayLifecycle} from './gateway-lifecycle.ts';
 
 /** What answers to peers are made from. */
-export interface GatewayPeerParts {
+export interface GatewayPeerRequestHandlerParts {
   readonly coordinator: StageCoordinator;
   readonly directory: EngineDirectory;
-  readonly keptPrompts: KeptPromptsReader;
-  readonly exchange: CopyExchange;
+  readonly cachedPrompts: CachedPromptsReader;
+  readonly exchange: GossipExchange;
   readonly lifecycle: GatewayLifecycle;
   readonly relay: RelayServer;
   readonly limits: Pick<LimitTable, 'applyReports'>;
@@ -36,15 +40,15 @@
 };
 
 /** Answers what peers ask of a gateway. */
-export class GatewayPeerRequests {
-  private readonly parts: GatewayPeerParts;
+export class GatewayPeerRequestHandler {
+  private readonly parts: GatewayPeerRequestHandlerParts;
 
-  constructor(parts: GatewayPeerParts) {
+  constructor(parts: GatewayPeerRequestHandlerParts) {
     this.parts = parts;
   }
 
   async answerRequest(request: PeerRequest): Promise<PeerReply> {
-    const {coordinator, directory, exchange, keptPrompts, lifecycle, relay} =
+    const {coordinator, directory, exchange, cachedPrompts, lifecycle, relay} =
       this.parts;
     const {freshnessGuard} = this.parts;
     if (DECIDED_BY_VIEW.has(request.type) && freshnessGuard.isRefreshDue()) {
@@ -76,7 +80,7 @@
         if (lifecycle.isStopping()) {
           return STOPPING;
         }
-        keptPrompts.readService(request.service);
+        cachedPrompts.readCachedPrompts(request.service);
         const choice = directory.reserveEngine(request);
         return {
           type: 'assigned',
@@ -109,9 +113,9 @@
       }));
   }
 
-  private applyNote(note: PeerNote): void {
+  private applyNote(note: PeerNotification): void {
     const {coordinator, directory} = this.parts;
-    match<PeerNote, void>(note)
+    match<PeerNotification, void>(note)
       .with({type: 'stage-end'}, ({requestId}) =>
         coordinator.endRequest(requestId),
       )
@@ -121,7 +125,8 @@
       .with({type: 'assignment-progress'}, ({progress}) => {
         directory.recordProgress(progress);
         const {requestId, firstMs} = progress;
-        if (firstMs !== undefined) coordinator.recordFirst(requestId, firstMs);
+        if (firstMs !== undefined)
+          coordinator.recordFirstEvent(requestId, firstMs);
       })
       .exhaustive();
   }
--- a/packages/gateway/src/gateway-request-handler.ts
+++ b/packages/gateway/src/gateway-request-handler.ts
@@ -16,7 +16,7 @@
 import {createHash} from 'node:crypto';
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {writeError} from './answer-writer.ts';
-import {CallerAges} from './caller-ages.ts';
+import {RequestAgeEstimator} from './request-age-estimator.ts';
 import type {GatewayLifecycle} from './gateway-lifecycle.ts';
 import {readRequestBody} from './request-body.ts';
 import type {RequestProtocol} from './request-protocol.ts';
@@ -25,7 +25,7 @@
 import {RoutedRequest} from './routed-request.ts';
 
 /** What the front works with. */
-export interface GatewayFrontParts {
+export interface GatewayRequestHandlerParts {
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly metrics: MetricsRegistry;
@@ -67,12 +67,12 @@
 }
 
 /** Takes routed requests: finds their route and workspace, and runs them. */
-export class GatewayFront {
-  private readonly parts: GatewayFrontParts;
+export class GatewayRequestHandler {
+  private readonly parts: GatewayRequestHandlerParts;
   private readonly startedAtMs: number;
-  private readonly callerAges = new CallerAges();
+  private readonly callerAges = new RequestAgeEstimator();
 
-  constructor(parts: GatewayFrontParts) {
+  constructor(parts: GatewayRequestHandlerParts) {
     this.parts = parts;
     this.startedAtMs = parts.clock.getNow();
   }
@@ -218,7 +218,7 @@
       controller.abort(error);
       writeError(outgoing, error, facts.requestId, protocol);
     });
-    const removeRefusal = this.parts.lifecycle.addRefusal(() => {
+    const removeRefusal = this.parts.lifecycle.addRejectHandler(() => {
       if (request.getRan() === 'no') controller.abort(createStoppingError());
     });
     outgoing.once('close', () => {
@@ -281,11 +281,11 @@
       promptTokens: request.promptTokens,
       predictedMs: request.predictedMs,
       stagesMs: request.stagesMs,
-      stages: request.stageDurations,
+      stages: request.stageDurationsText,
       objectiveMs: facts.route.objectiveMs,
       ageMs: Math.round(facts.ageMs),
       timeMs: Math.round(facts.deadlineAtMs - facts.arrivedAtMs),
-      firstMs: request.getFirstMs(),
+      firstMs: request.getFirstEventMs(),
     });
   }
 
--- a/packages/gateway/src/gateway-server.ts
+++ b/packages/gateway/src/gateway-server.ts
@@ -8,7 +8,7 @@
 } from 'node:http';
 
 /** Answers one exchange. */
-export type ExchangeHandler = (
+export type HttpRequestListener = (
   incoming: IncomingMessage,
   outgoing: ServerResponse,
 ) => void;
@@ -25,7 +25,7 @@
 export class GatewayServer {
   private readonly server: Server;
 
-  constructor(handle: ExchangeHandler) {
+  constructor(handle: HttpRequestListener) {
     this.server = createServer(
       {
         noDelay: true,
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -10,7 +10,7 @@
 import type {BackOffTable} from '@hollowstack/upstream-signals';
 import {createServer, type IncomingHttpHeaders, type Server} from 'node:http';
 import type {CoordinatorSearch} from './coordinator-search.ts';
-import type {CopyExchange} from './copy-exchange.ts';
+import type {GossipExchange} from './gossip-exchange.ts';
 import type {EvacuatedDomains} from './evacuated-domains.ts';
 import type {GatewayLifecycle} from './gateway-lifecycle.ts';
 import type {GatewayServer} from './gateway-server.ts';
@@ -46,7 +46,7 @@
   readonly freshnessGuard: FreshnessGuard;
   readonly membership: Membership;
   readonly link: PeerLink;
-  readonly exchange: CopyExchange;
+  readonly exchange: GossipExchange;
   readonly coordinatorSearch: CoordinatorSearch;
   readonly registry: UpstreamRegistry;
   readonly evacuated: EvacuatedDomains;
@@ -142,13 +142,16 @@
     const limitMs = limitSeconds * 1000 - DRAIN_MARGIN_MS;
     lifecycle.setState('draining');
     lifecycle.closeConnectionsAfterAnswers();
-    logger.logEvent('entry.draining', {inProgress: lifecycle.getInProgress()});
+    logger.logEvent('entry.draining', {
+      inProgress: lifecycle.countInProgress(),
+    });
     void membership.stop();
     const isOver = () => {
       const passedMs = clock.getNow() - startedAtMs;
       if (passedMs >= limitMs) return true;
       const isIdle =
-        lifecycle.getInProgress() === 0 && coordinator.getWaitingCount() === 0;
+        lifecycle.countInProgress() === 0 &&
+        coordinator.getWaitingCount() === 0;
       return isIdle && passedMs >= BALANCER_LAG_MS;
     };
     while (!isOver()) {
@@ -161,7 +164,7 @@
       const passedMs = clock.getNow() - startedAtMs;
       if (passedMs >= limitMs - REFUSAL_MARGIN_MS) lifecycle.rejectUnsent();
     }
-    const inProgress = lifecycle.getInProgress();
+    const inProgress = lifecycle.countInProgress();
     if (inProgress > 0) logger.logEvent('entry.drain-late', {inProgress});
     this.stop();
   }
--- a/packages/gateway/src/gossip-exchange.test.ts
+++ b/packages/gateway/src/gossip-exchange.test.ts
@@ -7,7 +7,7 @@
 import type {Membership, PeerLink, PeerReply} from '@hollowstack/peers';
 import {SuspectTable} from '@hollowstack/quarantine';
 import type {RegisteredUpstream} from '@hollowstack/routes';
-import {CopyExchange} from './copy-exchange.ts';
+import {GossipExchange} from './gossip-exchange.ts';
 import {EvacuatedDomains} from './evacuated-domains.ts';
 import type {RequestProtocol} from './request-protocol.ts';
 import {RouteHolder} from './route-holder.ts';
@@ -48,7 +48,7 @@
     isProvisional: false,
     ...answer,
   };
-  const exchange = new CopyExchange({
+  const exchange = new GossipExchange({
     link: {sendRequest: async () => reply} as unknown as PeerLink,
     membership: {
       getSelf: () => SELF,
@@ -63,10 +63,10 @@
     suspects: new SuspectTable({clock, logger}),
     limits: new LimitTable({clock, logger}),
     seeds: [],
-    holder: new RouteHolder(protocol, logger, clock),
+    routeHolder: new RouteHolder(protocol, logger, clock),
     registry,
     evacuated: new EvacuatedDomains({protocol, logger, clock}),
-    freshness: new FreshnessTable({clock, limitMs: 2000}),
+    freshness: new FreshnessTable({clock, maxAgeMs: 2000}),
     followWithinMs: 2000,
   });
   t.after(() => {
--- a/packages/gateway/src/gossip-exchange.ts
+++ b/packages/gateway/src/gossip-exchange.ts
@@ -7,20 +7,17 @@
 } from '@hollowstack/clock';
 import type {EventLogger} from '@hollowstack/logger';
 import {
-  TextPacker,
+  TextCompressor,
   decodeText,
-  type CopyWishes,
-  type PackedText,
+  type RequestedCopies,
+  type CompressedText,
   type PeerLink,
   type PeerReply,
   type PeerRequest,
 } from '@hollowstack/peers';
-import {ExchangePartners} from './exchange-partners.ts';
-import {PeerNews} from './peer-news.ts';
-import {
-  SharedKnowledge,
-  type SharedKnowledgeParts,
-} from './shared-knowledge.ts';
+import {GossipPeerSelector} from './gossip-peer-selector.ts';
+import {PendingPeerRevision} from './pending-peer-revision.ts';
+import {GossipState, type GossipStateParts} from './gossip-state.ts';
 
 /** How far a peer is, as far as it tells. */
 type PeerRevisions = Pick<
@@ -29,7 +26,7 @@
 >;
 
 /** What the exchange works with. */
-export interface CopyExchangeParts extends SharedKnowledgeParts {
+export interface GossipExchangeParts extends GossipStateParts {
   readonly link: PeerLink;
   readonly clock: Clock;
   readonly logger: EventLogger;
@@ -65,13 +62,13 @@
  * store that works tells all of them within 2 to 12 ms (27 changes at nine gateways).
  */
 const TELL_AFTER_MS = 100;
-const COPIES: CopyWishes = {
+const COPIES: RequestedCopies = {
   configuration: true,
   upstreams: true,
   members: false,
   packed: true,
 };
-const NO_WISHES: CopyWishes = {
+const NO_WISHES: RequestedCopies = {
   configuration: false,
   upstreams: false,
   members: false,
@@ -82,27 +79,27 @@
  * upstreams, so that an instance which the store turns away, or which starts in
  * an outage, has both from its peers. The cost does not grow with the fleet.
  */
-export class CopyExchange {
-  private readonly parts: CopyExchangeParts;
+export class GossipExchange {
+  private readonly parts: GossipExchangeParts;
   private readonly task: RepeatingTask;
-  private readonly partners: ExchangePartners;
-  private readonly knowledge: SharedKnowledge;
-  private readonly configurationNews: PeerNews;
-  private readonly upstreamNews: PeerNews;
+  private readonly partners: GossipPeerSelector;
+  private readonly knowledge: GossipState;
+  private readonly configurationNews: PendingPeerRevision;
+  private readonly upstreamNews: PendingPeerRevision;
   private readonly roundMs: number;
   private readonly patienceMs: number;
-  private readonly packer = new TextPacker();
+  private readonly packer = new TextCompressor();
   private newsTimer: Timer | undefined;
   private tellTimer: Timer | undefined;
 
-  constructor(parts: CopyExchangeParts) {
+  constructor(parts: GossipExchangeParts) {
     this.parts = parts;
-    this.partners = new ExchangePartners(parts);
-    this.knowledge = new SharedKnowledge(parts);
+    this.partners = new GossipPeerSelector(parts);
+    this.knowledge = new GossipState(parts);
     this.roundMs = parts.followWithinMs * ROUND_SHARE;
     this.patienceMs = parts.followWithinMs * PATIENCE_SHARE;
-    this.configurationNews = new PeerNews(this.patienceMs);
-    this.upstreamNews = new PeerNews(this.patienceMs);
+    this.configurationNews = new PendingPeerRevision(this.patienceMs);
+    this.upstreamNews = new PendingPeerRevision(this.patienceMs);
     this.task = new RepeatingTask(parts.clock, parts.random, async () => {
       await this.runRound();
       return this.roundMs;
@@ -125,17 +122,17 @@
    * that learns of one does the same, so that the news is with 90 instances after some
    * seven such pauses and not as many rounds.
    */
-  scheduleTelling(): void {
+  schedulePropagation(): void {
     if (this.tellTimer) return;
     this.tellTimer = this.parts.clock.schedule(TELL_AFTER_MS, () => {
       this.tellTimer = undefined;
-      if (this.knowledge.hasUnstored()) void this.runRound();
+      if (this.knowledge.hasUnstoredReports()) void this.runRound();
     });
   }
 
   /** Asks one peer, or the seeds while no peer is known. */
   async runRound(): Promise<void> {
-    const {addresses, standby} = this.partners.chooseRound();
+    const {addresses, standby} = this.partners.chooseForRound();
     const wishes = this.listWishes();
     const asked = addresses.map((address, index) =>
       index === 0
@@ -166,10 +163,10 @@
 
   /** Answers a peer's question. */
   answerCopy(asked: Extract<PeerRequest, {type: 'copy'}>): PeerReply {
-    const {holder, registry, membership} = this.parts;
+    const {routeHolder, registry, membership} = this.parts;
     const {wishes} = asked;
     const isConfigurationNews =
-      holder.getRevision() > asked.configurationRevision;
+      routeHolder.getRevision() > asked.configurationRevision;
     const isDigestOther = registry.getDigest() !== asked.digest;
     this.knowledge.recordMessage(asked, asked.self.address);
     // Whoever asks may know more than the one that is asked.
@@ -188,7 +185,7 @@
       isDigestOther,
       configurationText:
         wishes.configuration && isConfigurationNews
-          ? this.packer.encodeText(holder.getText(), wishes.packed)
+          ? this.packer.encodeText(routeHolder.getText(), wishes.packed)
           : undefined,
       upstreams:
         wishes.upstreams && areUpstreamsNews
@@ -200,11 +197,14 @@
     };
   }
 
-  private listWishes(): CopyWishes {
-    const {holder, registry, membership, clock} = this.parts;
+  private listWishes(): RequestedCopies {
+    const {routeHolder, registry, membership, clock} = this.parts;
     const nowMs = clock.getNow();
     return {
-      configuration: this.configurationNews.isDue(holder.getRevision(), nowMs),
+      configuration: this.configurationNews.isDue(
+        routeHolder.getRevision(),
+        nowMs,
+      ),
       upstreams: this.upstreamNews.isDue(registry.getStoreRevision(), nowMs),
       members: membership.listPeers().length === 0,
       packed: true,
@@ -214,7 +214,7 @@
   private async askWithStandby(
     address: string,
     standby: string | undefined,
-    wishes: CopyWishes,
+    wishes: RequestedCopies,
   ): Promise<void> {
     const {clock, followWithinMs} = this.parts;
     const asked = this.askPeer(address, wishes);
@@ -230,7 +230,10 @@
   }
 
   // Resolves to whether the peer has answered.
-  private async askPeer(address: string, wishes: CopyWishes): Promise<boolean> {
+  private async askPeer(
+    address: string,
+    wishes: RequestedCopies,
+  ): Promise<boolean> {
     const {clock, link, membership, registry} = this.parts;
     const askedAtMs = clock.getNow();
     const reply = await link
@@ -253,7 +256,7 @@
     this.knowledge.recordMessage(reply, address);
     this.recordNews(reply);
     if (wishes.upstreams && !reply.isDigestOther) {
-      this.upstreamNews.removeNews();
+      this.upstreamNews.removeRevision();
     }
     this.scheduleNewsCheck(address);
     if (reply.configurationText !== undefined) {
@@ -262,7 +265,11 @@
     const isCopied =
       reply.upstreams !== undefined &&
       registry.applyCopy(reply.upstreams, source);
-    this.knowledge.recordComparison(reply, {askedAtMs, isCopied, source});
+    this.knowledge.recordComparison(reply, {
+      askedAtMs,
+      isCopyApplied: isCopied,
+      source,
+    });
     // Its upstreams are the same without those that are missing here.
     if (!reply.isProvisional && !reply.isDigestOther) {
       registry.endGraceOfMissing(source);
@@ -271,13 +278,13 @@
     return true;
   }
 
-  private offerConfiguration(packed: PackedText, source: string): void {
-    const {holder, logger} = this.parts;
+  private offerConfiguration(packed: CompressedText, source: string): void {
+    const {routeHolder, logger} = this.parts;
     try {
-      holder.offerText(decodeText(packed), source);
+      routeHolder.offerText(decodeText(packed), source);
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
-      const inForce = holder.getRevision();
+      const inForce = routeHolder.getRevision();
       logger.logEvent('routes.unreadable', {source, reason, inForce});
     }
   }
@@ -294,19 +301,19 @@
   }
 
   private hasNews(): boolean {
-    const {holder, registry} = this.parts;
+    const {routeHolder, registry} = this.parts;
     return (
-      this.configurationNews.isNewerThan(holder.getRevision()) ||
+      this.configurationNews.isNewerThan(routeHolder.getRevision()) ||
       this.upstreamNews.isNewerThan(registry.getStoreRevision())
     );
   }
 
   private recordNews(peer: PeerRevisions): void {
-    const {holder, registry, clock} = this.parts;
+    const {routeHolder, registry, clock} = this.parts;
     const nowMs = clock.getNow();
     this.configurationNews.recordRevision(
       peer.configurationRevision,
-      holder.getRevision(),
+      routeHolder.getRevision(),
       nowMs,
     );
     // One in its grace sends no copy of its upstreams.
--- a/packages/gateway/src/gossip-peer-selector.test.ts
+++ b/packages/gateway/src/gossip-peer-selector.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import type {Membership, PeerRecord} from '@hollowstack/peers';
-import {ExchangePartners} from './exchange-partners.ts';
+import {GossipPeerSelector} from './gossip-peer-selector.ts';
 
 const SELF = createPeer('self', 'a');
 
@@ -13,7 +13,7 @@
   peers: readonly PeerRecord[],
   reachable: readonly PeerRecord[] = peers,
 ) {
-  const partners = new ExchangePartners({
+  const partners = new GossipPeerSelector({
     membership: {
       getSelf: () => SELF,
       listPeers: () => peers,
--- a/packages/gateway/src/gossip-peer-selector.ts
+++ b/packages/gateway/src/gossip-peer-selector.ts
@@ -2,7 +2,7 @@
 import {chooseSubset} from '@hollowstack/routing';
 
 /** Dependencies of ExchangePartners. */
-export interface ExchangePartnersParts {
+export interface GossipPeerSelectorParts {
   readonly membership: Membership;
   /** Addresses to ask where no peer is known yet. */
   readonly seeds: readonly string[];
@@ -11,7 +11,7 @@
 }
 
 /** Whom one round of the exchange asks. */
-export interface ExchangeRound {
+export interface GossipRound {
   /** Asked at once; the first of them is also asked for copies. */
   readonly addresses: readonly string[];
   /** Asked in its place where the first does not answer soon. */
@@ -19,7 +19,7 @@
 }
 
 /** Whom a refresh of the view of the store asks. */
-export interface RefreshPartners {
+export interface RefreshPeers {
   /** Of another failure domain, where there is any. */
   readonly far: PeerRecord | undefined;
   /** Another one, of the own failure domain if there is any. */
@@ -39,16 +39,16 @@
 const FAR_EVERY_ROUNDS = 5;
 
 /** Chooses whom an instance compares its copies with. */
-export class ExchangePartners {
-  private readonly parts: ExchangePartnersParts;
+export class GossipPeerSelector {
+  private readonly parts: GossipPeerSelectorParts;
   private roundCount = 0;
 
-  constructor(parts: ExchangePartnersParts) {
+  constructor(parts: GossipPeerSelectorParts) {
     this.parts = parts;
   }
 
   /** Chooses one peer, or the seeds while no peer is known. */
-  chooseRound(): ExchangeRound {
+  chooseForRound(): GossipRound {
     const {membership, random} = this.parts;
     const peers = membership.listReachablePeers();
     const seeds = this.listSeeds();
@@ -69,7 +69,7 @@
   }
 
   /** Chooses whom to compare with at once. */
-  chooseForRefresh(): RefreshPartners {
+  chooseForRefresh(): RefreshPeers {
     const {membership} = this.parts;
     const own = membership.getSelf().failureDomain;
     const isFar = ({failureDomain}: PeerRecord) => failureDomain !== own;
--- a/packages/gateway/src/gossip-state.ts
+++ b/packages/gateway/src/gossip-state.ts
@@ -7,9 +7,9 @@
 import type {UpstreamRegistry} from './upstream-registry.ts';
 
 /** Dependencies of SharedKnowledge. */
-export interface SharedKnowledgeParts {
+export interface GossipStateParts {
   readonly membership: Membership;
-  readonly holder: RouteHolder;
+  readonly routeHolder: RouteHolder;
   readonly registry: UpstreamRegistry;
   readonly evacuated: EvacuatedDomains;
   readonly suspects: Pick<SuspectTable, 'applyReports' | 'listReports'>;
@@ -18,7 +18,7 @@
 }
 
 /** What instances tell each other in every comparison, whoever asks. */
-export type KnowledgeMessage = Pick<
+export type GossipMessage = Pick<
   Extract<PeerReply, {type: 'copy'}>,
   | 'self'
   | 'isLeaving'
@@ -36,36 +36,36 @@
   /** When the question was sent, which is no later than when it arrived. */
   readonly askedAtMs: number;
   /** Whether the reply's copy of upstreams was taken. */
-  readonly isCopied: boolean;
+  readonly isCopyApplied: boolean;
   readonly source: string;
 }
 
 /** The small part of an instance's knowledge that goes with every question and answer. */
-export class SharedKnowledge {
-  private readonly parts: SharedKnowledgeParts;
+export class GossipState {
+  private readonly parts: GossipStateParts;
 
-  constructor(parts: SharedKnowledgeParts) {
+  constructor(parts: GossipStateParts) {
     this.parts = parts;
   }
 
-  createMessage(): KnowledgeMessage {
-    const {membership, holder, registry, evacuated, suspects, limits} =
+  createMessage(): GossipMessage {
+    const {membership, routeHolder, registry, evacuated, suspects, limits} =
       this.parts;
     return {
       self: membership.getSelf(),
       isLeaving: membership.isLeaving(),
-      configurationRevision: holder.getRevision(),
+      configurationRevision: routeHolder.getRevision(),
       storeRevision: registry.getStoreRevision(),
       isProvisional: registry.isInGrace(),
       evacuations: evacuated.getState(),
-      leavingUpstreams: registry.listToldLeaving(),
+      leavingUpstreams: registry.listSelfReportedLeaving(),
       suspects: suspects.listReports(),
       limits: limits.listReports(),
     };
   }
 
   /** Takes what a peer tells. */
-  recordMessage(message: KnowledgeMessage, address: string): void {
+  recordMessage(message: GossipMessage, address: string): void {
     const {registry, evacuated, suspects, limits} = this.parts;
     const source = `peer ${address}`;
     this.recordPeer(message);
@@ -95,37 +95,37 @@
    */
   recordComparison(
     reply: Extract<PeerReply, {type: 'copy'}>,
-    {askedAtMs, isCopied, source}: ComparisonInput,
+    {askedAtMs, isCopyApplied, source}: ComparisonInput,
   ): void {
-    const {holder, evacuated, freshness} = this.parts;
+    const {routeHolder, evacuated, freshness} = this.parts;
     const {configuration, upstreams} = reply.viewOffsetsMs ?? {};
     const isConfigurationKnown =
-      holder.getRevision() >= reply.configurationRevision &&
+      routeHolder.getRevision() >= reply.configurationRevision &&
       evacuated.getState().storeRevision >=
         (reply.evacuations?.storeRevision ?? Infinity);
     if (configuration !== undefined && isConfigurationKnown) {
       freshness.recordKnown('configuration', askedAtMs + configuration, source);
     }
     const isSame = !reply.isDigestOther && !reply.isProvisional;
-    if (upstreams !== undefined && (isSame || isCopied)) {
+    if (upstreams !== undefined && (isSame || isCopyApplied)) {
       freshness.recordKnown('upstreams', askedAtMs + upstreams, source);
     }
   }
 
   /** Returns whether there is anything that only instances tell each other. */
-  hasUnstored(): boolean {
+  hasUnstoredReports(): boolean {
     const {registry, suspects, limits} = this.parts;
     return (
-      registry.listToldLeaving().length > 0 ||
+      registry.listSelfReportedLeaving().length > 0 ||
       suspects.listReports().length > 0 ||
       limits.listReports().length > 0
     );
   }
 
   // One that stops still answers, but nothing new must go to it.
-  private recordPeer({self, isLeaving}: KnowledgeMessage): void {
+  private recordPeer({self, isLeaving}: GossipMessage): void {
     const {membership} = this.parts;
     if (isLeaving) membership.recordUnreachable(self.id);
-    else membership.recordHeard(self);
+    else membership.recordContact(self);
   }
 }
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -17,6 +17,6 @@
 export {WindowRetryBudget, type RetryBound} from './window-retry-budget.ts';
 export {
   chooseRequestUpstream,
-  type RequestCandidate,
-  type RequestChoiceInput,
+  type UpstreamCandidate,
+  type UpstreamChoiceInput,
 } from './upstream-choice.ts';
--- a/packages/gateway/src/leaving-ids.ts
+++ b/packages/gateway/src/leaving-ids.ts
@@ -15,12 +15,12 @@
   }
 
   /** Returns whether an answer of the upstream said it, here or at a peer. */
-  isTold(id: string): boolean {
+  isSelfReported(id: string): boolean {
     return this.toldAtMs.has(id);
   }
 
   /** Returns when an answer of the upstream said it, if one did. */
-  getToldAtMs(id: string): number | undefined {
+  getSelfReportedAtMs(id: string): number | undefined {
     return this.toldAtMs.get(id);
   }
 
@@ -34,7 +34,7 @@
   }
 
   /** Notes that an answer of an upstream says that it leaves. */
-  addTold(id: string, nowMs: number): void {
+  addSelfReported(id: string, nowMs: number): void {
     this.toldAtMs.set(id, nowMs);
     this.addRegistered(id);
   }
--- a/packages/gateway/src/limited-sends.ts
+++ b/packages/gateway/src/limited-sends.ts
@@ -2,7 +2,7 @@
 import {computeRequestPriority} from '@hollowstack/routes';
 import type {SendLimiter} from '@hollowstack/upstream-limits';
 import type {RoutedRequest} from './routed-request.ts';
-import {createUnavailable} from './unavailable.ts';
+import {createUnavailableError} from './unavailable-error.ts';
 import type {UpstreamPool} from './upstream-pool.ts';
 
 /** Dependencies of LimitedSends. */
@@ -72,7 +72,7 @@
       this.computeMaxWaitMs(request),
     );
     if (answer.type === 'granted') return answer.grant.upstreamId;
-    throw createUnavailable(
+    throw createUnavailableError(
       request,
       `all ${upstreamIds.length} remaining upstreams of ${request.service} have reached their advertised rate limits`,
       answer.retryAfterMs,
--- a/packages/gateway/src/pending-peer-revision.ts
+++ b/packages/gateway/src/pending-peer-revision.ts
@@ -1,5 +1,5 @@
 /** What peers know that this instance does not, and for how long it has been so. */
-export class PeerNews {
+export class PendingPeerRevision {
   private readonly patienceMs: number;
   private revision = 0;
   private sinceMs = 0;
@@ -31,7 +31,7 @@
   }
 
   /** Notes that a peer was asked and had nothing that differs. */
-  removeNews(): void {
+  removeRevision(): void {
     this.revision = 0;
   }
 }
--- a/packages/gateway/src/releasable-inputs.ts
+++ b/packages/gateway/src/releasable-inputs.ts
@@ -3,7 +3,7 @@
 import type {RoutedRequest} from './routed-request.ts';
 
 /** Milliseconds after which to come back where no upstream is left. */
-export const RETRY_AFTER_MS = 300;
+export const UNAVAILABLE_RETRY_AFTER_MS = 300;
 
 /** Inputs of an attempt that know whether they were released. */
 export class ReleasableInputs implements AttemptInputs {
@@ -28,7 +28,7 @@
   constructor(reason: string, request: RoutedRequest) {
     super('upstream-unavailable', reason, {
       ran: request.getRan(),
-      retryAfterMs: RETRY_AFTER_MS,
+      retryAfterMs: UNAVAILABLE_RETRY_AFTER_MS,
     });
   }
 }
--- a/packages/gateway/src/removed-entries.ts
+++ b/packages/gateway/src/removed-entries.ts
@@ -6,7 +6,7 @@
 type LastWrite = Pick<RegisteredUpstream, 'startedAtMs' | 'writeCount'>;
 
 /** Remembers removed registry entries, so that a restored store does not bring them back. */
-export class DepartedEntries {
+export class RemovedEntries {
   /** Start time and write count of each removed entry, by key. */
   private readonly lastWrites = new Map<string, LastWrite>();
   /** Texts of entries that are not accepted yet, by key. */
--- a/packages/gateway/src/request-age-estimator.test.ts
+++ b/packages/gateway/src/request-age-estimator.test.ts
@@ -1,15 +1,21 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {CallerAges, type AgedRoute} from './caller-ages.ts';
+import {
+  RequestAgeEstimator,
+  type RouteIdentity,
+} from './request-age-estimator.ts';
 
-const ROUTE: AgedRoute = {name: 'r'};
+const ROUTE: RouteIdentity = {name: 'r'};
 
-function recordDeadlines(ages: CallerAges, deadlines: readonly number[]): void {
+function recordDeadlines(
+  ages: RequestAgeEstimator,
+  deadlines: readonly number[],
+): void {
   for (const deadlineMs of deadlines) ages.recordDeadline(ROUTE, deadlineMs);
 }
 
 test('a caller that gives less time than others of its route has asked before', () => {
-  const ages = new CallerAges();
+  const ages = new RequestAgeEstimator();
   recordDeadlines(ages, Array<number>(12).fill(9000));
   assert.equal(ages.computeAgeMs(ROUTE, 9000), 0);
   assert.equal(ages.computeAgeMs(ROUTE, 8950), 0);
@@ -17,7 +23,7 @@
 });
 
 test('callers that differ by themselves count as asking for the first time', () => {
-  const ages = new CallerAges();
+  const ages = new RequestAgeEstimator();
   recordDeadlines(
     ages,
     [2, 3, 4, 5, 6, 7, 8, 9, 10, 11].map(seconds => seconds * 1000),
@@ -28,7 +34,7 @@
 test('before anything was learnt a caller counts as asking for the first time', () => {
   // Callers of one route who give 10.2 to 12 s of 12, by themselves.
   const deadlines = [11_200, 10_241, 11_998, 10_408, 11_163, 10_900, 11_700];
-  const ages = new CallerAges();
+  const ages = new RequestAgeEstimator();
   for (const deadlineMs of deadlines) {
     assert.equal(ages.computeAgeMs(ROUTE, deadlineMs), 0);
     ages.recordDeadline(ROUTE, deadlineMs);
--- a/packages/gateway/src/request-age-estimator.ts
+++ b/packages/gateway/src/request-age-estimator.ts
@@ -12,7 +12,7 @@
 /** Share of the samples that must be usual, or callers differ by themselves. */
 const MIN_USUAL_SHARE = 0.5;
 /** What the age of a request depends on beside its callers. */
-export type AgedRoute = Pick<Route, 'name'>;
+export type RouteIdentity = Pick<Route, 'name'>;
 
 /**
  * Tells how long ago a caller first asked. One that asks again gives the time
@@ -21,7 +21,7 @@
  * not hold up one that can, as after a loss of all instances, when callers whose
  * connections broke ask again.
  */
-export class CallerAges {
+export class RequestAgeEstimator {
   private readonly samples = new Map<string, number[]>();
 
   /**
@@ -30,12 +30,12 @@
    * @param deadlineMs Milliseconds that the caller still waits.
    * @returns Milliseconds; 0 where nothing speaks for an earlier attempt.
    */
-  computeAgeMs(route: AgedRoute, deadlineMs: number): number {
+  computeAgeMs(route: RouteIdentity, deadlineMs: number): number {
     return computeAge(this.samples.get(route.name) ?? [], deadlineMs);
   }
 
   /** Notes the deadline that a caller gave. */
-  recordDeadline(route: AgedRoute, deadlineMs: number): void {
+  recordDeadline(route: RouteIdentity, deadlineMs: number): void {
     const samples = this.samples.get(route.name) ?? [];
     samples.push(deadlineMs);
     if (samples.length > MAX_SAMPLES) samples.shift();
--- a/packages/gateway/src/request-runner.ts
+++ b/packages/gateway/src/request-runner.ts
@@ -4,7 +4,7 @@
 import {
   computeRequestPriority,
   type RouteTable,
-  type Shortage,
+  type Unavailability,
 } from '@hollowstack/routes';
 import type {RequestQuarantine} from '@hollowstack/quarantine';
 import {
@@ -74,8 +74,8 @@
     await this.parts.limitedSends.reserveSend(request);
     if (request.facts.route.stages.length === 0 || counts === undefined) {
       await this.parts.attempts.run(request, {
-        parts,
-        inputBytes: NO_BYTES,
+        promptParts: parts,
+        inputBytesByDomain: NO_BYTES,
         inputs: undefined,
         excluded: new Set(),
       });
@@ -100,7 +100,7 @@
       if (error instanceof StageError) this.recordBrokenCalls(request, error);
       throw error;
     } finally {
-      request.stageDurations = stages.renderDurations();
+      request.stageDurationsText = stages.renderDurations();
       stages.releaseAll();
     }
   }
@@ -131,7 +131,10 @@
   }
 
   // Upstreams that want no work now may want some by the time the stages are done.
-  private isOverBefore({waitMs}: Shortage, {facts}: RoutedRequest): boolean {
+  private isOverBefore(
+    {waitMs}: Unavailability,
+    {facts}: RoutedRequest,
+  ): boolean {
     if (waitMs === undefined) return false;
     const {route} = facts;
     return waitMs < this.parts.stageDurations.getMeanMs(route.name, 0);
@@ -154,14 +157,14 @@
       const handles = made.results.map(({handle}) => handle);
       try {
         await this.parts.attempts.run(request, {
-          parts,
-          inputBytes: made.bytesByDomain,
+          promptParts: parts,
+          inputBytesByDomain: made.bytesByDomain,
           inputs: new ReleasableInputs(
             protocol.renderStageInputs(handles),
             () => stages.releaseAll(),
           ),
           excluded,
-          handleFirst: firstMs => stages.recordFirst(firstMs),
+          handleFirstEvent: firstMs => stages.recordFirstEvent(firstMs),
         });
         return;
       } catch (error) {
@@ -182,8 +185,8 @@
     const sharedTokens = shared.reduce((sum, {tokens}) => sum + tokens, 0);
     if (sharedTokens < AFFINITY_FIRST_TOKENS) return undefined;
     const home = await this.parts.chooser.choose(request, {
-      parts,
-      inputBytes: NO_BYTES,
+      promptParts: parts,
+      inputBytesByDomain: NO_BYTES,
       excluded: new Set(),
       isFinal: false,
     });
@@ -214,10 +217,10 @@
         remainingMs: facts.deadlineAtMs - nowMs,
         priority: computeRequestPriority(route, facts.workspace),
         ownTokens,
-        startsLate: policy.latestStart,
+        defersLargeStages: policy.latestStart,
         isIsolated: quarantine.isIsolated(request),
         // A caller that came back once may not do so again.
-        mayComeBack:
+        mayRetry:
           facts.ageMs === 0 &&
           facts.deadlineAtMs - nowMs >= COME_BACK_SHARE * route.timeoutMs,
       },
--- a/packages/gateway/src/routed-request.ts
+++ b/packages/gateway/src/routed-request.ts
@@ -1,5 +1,5 @@
 import type {Clock} from '@hollowstack/clock';
-import {HollowstackError, type Ran} from '@hollowstack/errors';
+import {HollowstackError, type RunStatus} from '@hollowstack/errors';
 import type {KeyedWorkspace, Route} from '@hollowstack/routes';
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import {computeFingerprint} from '@hollowstack/quarantine';
@@ -37,7 +37,7 @@
   /** Milliseconds that the stages took. */
   stagesMs: number | undefined;
   /** Milliseconds that each stage took, as text for the log. */
-  stageDurations: string | undefined;
+  stageDurationsText: string | undefined;
   /** Milliseconds to the first bytes, as admission predicted them. */
   predictedMs: number | undefined;
   /** What this instance knew of upstreams when it last chose one. */
@@ -46,7 +46,7 @@
   grant: SendGrant | undefined;
   /** Id of the last event that the caller was sent. */
   lastEventId: string | undefined;
-  private ran: Ran = 'no';
+  private ran: RunStatus = 'no';
   private firstAtMs: number | undefined;
   private fingerprint: string | undefined;
 
@@ -98,22 +98,22 @@
   }
 
   /** Notes that the one upstream which could have run it has not. */
-  recordNotRun(ranBefore: Ran): void {
+  recordNotRun(ranBefore: RunStatus): void {
     this.ran = ranBefore;
   }
 
   /** Notes that the caller gets its first event now. */
-  recordFirst(nowMs: number): void {
+  recordFirstEvent(nowMs: number): void {
     this.firstAtMs ??= nowMs;
   }
 
   /** Returns milliseconds from arrival to the first event, if there was one. */
-  getFirstMs(): number | undefined {
+  getFirstEventMs(): number | undefined {
     if (this.firstAtMs === undefined) return undefined;
     return Math.round(this.firstAtMs - this.facts.arrivedAtMs);
   }
 
-  getRan(): Ran {
+  getRan(): RunStatus {
     return this.ran;
   }
 
--- a/packages/gateway/src/store-follower.ts
+++ b/packages/gateway/src/store-follower.ts
@@ -23,14 +23,14 @@
   readonly random: () => number;
   readonly logger: EventLogger;
   readonly range: KeyRange;
-  readonly handleReading: (reading: RangeResult) => void;
+  readonly handleFullRead: (reading: RangeResult) => void;
   /** Called when changes may have been missed, which the next reading brings. */
   readonly handleMissedChanges: () => void;
   /** Called before the first reading after the store was away. */
   readonly handleOutageEnd?: () => void;
   readonly handleChanges: (events: readonly WatchEvent[]) => void;
   /** Called when every change up to a time of the clock was handled. */
-  readonly handleKnown: (knownUntilMs: number) => void;
+  readonly handleKnownUntil: (knownUntilMs: number) => void;
 }
 
 /** Follows one range: reads it whole whenever the watch stands anew, then by changes. */
@@ -54,7 +54,7 @@
 
   handleProgress(knownUntilMs: number): void {
     this.knownUntilMs = Math.max(this.knownUntilMs, knownUntilMs);
-    if (!this.isReadDue) this.parts.handleKnown(this.knownUntilMs);
+    if (!this.isReadDue) this.parts.handleKnownUntil(this.knownUntilMs);
   }
 
   handleResync(isAfterOutage: boolean): void {
@@ -96,7 +96,7 @@
       const reading = await this.parts.store.readRange(this.range);
       if (signal.aborted) return false;
       this.recordState(false, undefined);
-      this.parts.handleReading(reading);
+      this.parts.handleFullRead(reading);
       this.isReadDue = false;
       this.handleProgress(this.knownUntilMs);
       return true;
--- a/packages/gateway/src/test-utils/view-fleet.ts
+++ b/packages/gateway/src/test-utils/view-fleet.ts
@@ -12,7 +12,7 @@
 import {SuspectTable} from '@hollowstack/quarantine';
 import {LimitTable} from '@hollowstack/upstream-limits';
 import {
-  isTakingWork,
+  isAcceptingWork,
   type RegisteredUpstream,
   type RoutedConfiguration,
 } from '@hollowstack/routes';
@@ -64,7 +64,7 @@
   readonly client: ViewStoreClient;
   readonly network: ViewPeerNetwork;
   readonly registry: UpstreamRegistry;
-  readonly holder: RouteHolder;
+  readonly routeHolder: RouteHolder;
   readonly suspects: SuspectTable;
   readonly limits: LimitTable;
   readonly freshness: FreshnessTable;
@@ -107,13 +107,17 @@
     return this.instances.filter(({registry}) =>
       registry
         .listUpstreams()
-        .some(upstream => upstream.id === upstreamId && isTakingWork(upstream)),
+        .some(
+          upstream => upstream.id === upstreamId && isAcceptingWork(upstream),
+        ),
     );
   }
 
   /** Lists the instances that a configuration has not reached. */
   listBehind(revision: number): ViewInstance[] {
-    return this.instances.filter(({holder}) => holder.getRevision() < revision);
+    return this.instances.filter(
+      ({routeHolder}) => routeHolder.getRevision() < revision,
+    );
   }
 
   private async startInstance(index: number): Promise<void> {
@@ -160,7 +164,7 @@
         requestProtocol: protocol,
       },
       link,
-      holder,
+      routeHolder: holder,
       registry,
       evacuated,
       suspects,
@@ -176,7 +180,7 @@
       client,
       network,
       registry,
-      holder,
+      routeHolder: holder,
       suspects,
       limits,
       freshness: view.freshness,
--- a/packages/gateway/src/unavailable-error.ts
+++ b/packages/gateway/src/unavailable-error.ts
@@ -1,5 +1,5 @@
 import {HollowstackError} from '@hollowstack/errors';
-import {RETRY_AFTER_MS} from './releasable-inputs.ts';
+import {UNAVAILABLE_RETRY_AFTER_MS} from './releasable-inputs.ts';
 import type {RoutedRequest} from './routed-request.ts';
 
 /**
@@ -7,10 +7,10 @@
  *
  * @param retryAfterMs Milliseconds after which the caller may retry.
  */
-export function createUnavailable(
+export function createUnavailableError(
   request: RoutedRequest,
   reason: string,
-  retryAfterMs = RETRY_AFTER_MS,
+  retryAfterMs = UNAVAILABLE_RETRY_AFTER_MS,
 ): HollowstackError {
   const ran = request.getRan();
   return new HollowstackError(
--- a/packages/gateway/src/upstream-choice.ts
+++ b/packages/gateway/src/upstream-choice.ts
@@ -1,24 +1,24 @@
 import {listByRendezvous} from '@hollowstack/routing';
 
 /** An upstream that a request could go to. */
-export interface RequestCandidate {
+export interface UpstreamCandidate {
   readonly id: string;
   readonly failureDomain: string;
   readonly capacity: number;
   /** This instance's own requests in progress there. */
   readonly ownInFlight: number;
   /** How long work takes there over what it takes elsewhere. */
-  readonly slowness: number;
+  readonly latencyRatio: number;
   /**
    * Whether this instance may send there of its own accord; false while the
    * upstream is cold and this instance's share of what it bears is used up.
    */
-  readonly hasShare: boolean;
+  readonly hasSendQuota: boolean;
 }
 
 /** What the choice is made from. */
-export interface RequestChoiceInput {
-  readonly candidates: readonly RequestCandidate[];
+export interface UpstreamChoiceInput {
+  readonly candidates: readonly UpstreamCandidate[];
   /** Requests with the same key share the beginning of their prompts. */
   readonly affinityKey: string | undefined;
   /** Failure domain in which the request's inputs lie. */
@@ -37,16 +37,16 @@
 
 /** Chooses the upstream of a request; undefined where there is none. */
 export function chooseRequestUpstream(
-  input: RequestChoiceInput,
-): RequestCandidate | undefined {
+  input: UpstreamChoiceInput,
+): UpstreamCandidate | undefined {
   const {affinityKey, failureDomain} = input;
-  const candidates = input.candidates.filter(({hasShare}) => hasShare);
+  const candidates = input.candidates.filter(({hasSendQuota}) => hasSendQuota);
   if (candidates.length === 0) return undefined;
   const near = candidates.filter(
     candidate => candidate.failureDomain === failureDomain,
   );
   const pool = near.length > 0 ? near : candidates;
-  const fast = pool.filter(({slowness}) => slowness < SLOW_FACTOR);
+  const fast = pool.filter(({latencyRatio}) => latencyRatio < SLOW_FACTOR);
   const usable = fast.length > 0 ? fast : pool;
   if (affinityKey === undefined) return chooseLeastLoaded(usable, input.random);
   return (
@@ -55,9 +55,9 @@
 }
 
 function chooseHome(
-  candidates: readonly RequestCandidate[],
+  candidates: readonly UpstreamCandidate[],
   affinityKey: string,
-): RequestCandidate | undefined {
+): UpstreamCandidate | undefined {
   const byId = new Map(candidates.map(candidate => [candidate.id, candidate]));
   const total = candidates.reduce((sum, each) => sum + each.ownInFlight, 0);
   const bound = Math.max(HOME_ALLOWANCE, (2 * total) / candidates.length);
@@ -69,16 +69,16 @@
 }
 
 function chooseLeastLoaded(
-  candidates: readonly RequestCandidate[],
+  candidates: readonly UpstreamCandidate[],
   random: () => number,
-): RequestCandidate {
+): UpstreamCandidate {
   const scores = candidates.map(computeLoad);
   const least = Math.min(...scores);
   const tied = candidates.filter((_, index) => scores[index] <= least * 1.05);
   return tied[Math.floor(random() * tied.length)];
 }
 
-function computeLoad(candidate: RequestCandidate): number {
-  const {ownInFlight, capacity, slowness} = candidate;
-  return slowness * (1 + ownInFlight / capacity);
+function computeLoad(candidate: UpstreamCandidate): number {
+  const {ownInFlight, capacity, latencyRatio} = candidate;
+  return latencyRatio * (1 + ownInFlight / capacity);
 }
--- a/packages/gateway/src/upstream-chooser.ts
+++ b/packages/gateway/src/upstream-chooser.ts
@@ -1,12 +1,12 @@
 import type {FreshnessGuard} from '@hollowstack/freshness';
 import type {AssignmentProgress, PromptPart} from '@hollowstack/types';
 import type {AttemptOutcome} from './attempt.ts';
-import type {EngineAssigner, EngineAssignment} from './engine-assigner.ts';
+import type {EngineAssigner, UpstreamAssignment} from './engine-assigner.ts';
 import type {LimitedSends} from './limited-sends.ts';
 import type {RoutedRequest} from './routed-request.ts';
 import {
   chooseRequestUpstream,
-  type RequestCandidate,
+  type UpstreamCandidate,
 } from './upstream-choice.ts';
 import type {UpstreamPool} from './upstream-pool.ts';
 
@@ -23,10 +23,10 @@
 }
 
 /** What a choice is made for. */
-export interface ChoiceNeed {
-  readonly parts: readonly PromptPart[];
+export interface UpstreamChoiceOptions {
+  readonly promptParts: readonly PromptPart[];
   /** Bytes of inputs that lie in each failure domain. */
-  readonly inputBytes: ReadonlyMap<string, number>;
+  readonly inputBytesByDomain: ReadonlyMap<string, number>;
   readonly excluded: ReadonlySet<string>;
   /** Whether the request is sent now; otherwise only a forecast is asked for. */
   readonly isFinal: boolean;
@@ -45,8 +45,8 @@
 
   async choose(
     request: RoutedRequest,
-    need: ChoiceNeed,
-  ): Promise<EngineAssignment | undefined> {
+    need: UpstreamChoiceOptions,
+  ): Promise<UpstreamAssignment | undefined> {
     const {freshnessGuard} = this.parts;
     if (freshnessGuard.isRefreshDue()) await freshnessGuard.refresh();
     const {service} = request.facts;
@@ -54,12 +54,12 @@
     const limited = await this.chooseLimited(request, need, listed);
     if (limited) return limited;
     const candidates = this.listPreferred(listed);
-    if (need.parts.length > 0) {
+    if (need.promptParts.length > 0) {
       const assigned = await this.parts.assigner.askForEngine({
         requestId: request.facts.requestId,
         service,
-        parts: [...need.parts],
-        inputs: [...need.inputBytes].map(([failureDomain, bytes]) => ({
+        parts: [...need.promptParts],
+        inputs: [...need.inputBytesByDomain].map(([failureDomain, bytes]) => ({
           failureDomain,
           bytes,
         })),
@@ -73,11 +73,12 @@
     }
     const chosen = chooseRequestUpstream({
       candidates,
-      affinityKey: createAffinityKey(need.parts),
-      failureDomain: chooseHeaviestDomain(need.inputBytes),
+      affinityKey: createAffinityKey(need.promptParts),
+      failureDomain: chooseHeaviestDomain(need.inputBytesByDomain),
       random: this.parts.random,
     });
-    if (chosen && need.isFinal) this.parts.pool.recordOwnChoice(chosen.id);
+    if (chosen && need.isFinal)
+      this.parts.pool.recordUncoordinatedChoice(chosen.id);
     return chosen;
   }
 
@@ -85,26 +86,28 @@
   // the end of their limits. Otherwise they are used up to their limits.
   private async chooseLimited(
     request: RoutedRequest,
-    {isFinal}: ChoiceNeed,
-    candidates: readonly RequestCandidate[],
-  ): Promise<EngineAssignment | undefined> {
+    {isFinal}: UpstreamChoiceOptions,
+    candidates: readonly UpstreamCandidate[],
+  ): Promise<UpstreamAssignment | undefined> {
     const {limitedSends, pool} = this.parts;
     const limited = candidates.filter(({id}) => limitedSends.isLimited(id));
     if (!isFinal || limited.length === 0) return undefined;
-    const ids = limited.filter(({hasShare}) => hasShare).map(({id}) => id);
+    const ids = limited
+      .filter(({hasSendQuota}) => hasSendQuota)
+      .map(({id}) => id);
     if (ids.length === 0) return undefined;
     const id =
       limited.length === candidates.length
         ? await limitedSends.acquireGrant(request, ids)
         : await limitedSends.acquireProbeGrant(request, ids);
     const chosen = limited.find(candidate => candidate.id === id);
-    if (chosen) pool.recordOwnChoice(chosen.id);
+    if (chosen) pool.recordUncoordinatedChoice(chosen.id);
     return chosen;
   }
 
   private listPreferred(
-    candidates: readonly RequestCandidate[],
-  ): readonly RequestCandidate[] {
+    candidates: readonly UpstreamCandidate[],
+  ): readonly UpstreamCandidate[] {
     const {limitedSends} = this.parts;
     const unlimited = candidates.filter(({id}) => !limitedSends.isLimited(id));
     return unlimited.length > 0 ? unlimited : candidates;
@@ -114,11 +117,11 @@
   // this one: a place that it took for nothing would stay taken until it hears of it.
   private listExcluded(
     service: string,
-    {excluded}: ChoiceNeed,
-    preferred: readonly RequestCandidate[],
+    {excluded}: UpstreamChoiceOptions,
+    preferred: readonly UpstreamCandidate[],
   ): string[] {
     const {pool, limitedSends} = this.parts;
-    const closed = pool.listClosed(service);
+    const closed = pool.listBlocked(service);
     const limited = pool
       .listIds(service)
       .filter(id => limitedSends.isLimited(id))
@@ -129,7 +132,7 @@
   // A forecast for stages that are still to run knows no time yet.
   private computeDueInMs(
     {facts}: RoutedRequest,
-    {isFinal}: ChoiceNeed,
+    {isFinal}: UpstreamChoiceOptions,
   ): number | undefined {
     const {getNow, placesBySlack} = this.parts;
     if (!placesBySlack || !isFinal) return undefined;
@@ -137,7 +140,7 @@
   }
 
   /** Notes that an upstream's first bytes are there. */
-  recordFirst(
+  recordFirstEvent(
     request: RoutedRequest,
     upstreamId: string,
     firstMs: number,
@@ -146,7 +149,7 @@
   }
 
   /** Notes that an upstream has been silent for too long. */
-  recordSilence(request: RoutedRequest, upstreamId: string): void {
+  recordUnresponsive(request: RoutedRequest, upstreamId: string): void {
     // One silent answer may be a lost one; several in a row are an upstream.
     this.parts.pool.recordFailure(upstreamId, 'broken');
     this.recordStep(request, upstreamId, {step: 'failed'});
@@ -164,13 +167,15 @@
       this.recordStep(request, upstreamId, {step: 'ended'});
       return;
     }
-    const isOther = outcome.type === 'not-run' && outcome.isOtherUpstream;
+    const isOther = outcome.type === 'not-run' && outcome.isMisdirected;
     // This side kept it back; the upstream was not even asked.
     const isUnreached = outcome.type === 'unsent' && !outcome.isWithdrawn;
     const isAgainst =
       isUnreached ||
       isOther ||
-      (outcome.type === 'failed' && !outcome.isOwnEnd && !outcome.passOn);
+      (outcome.type === 'failed' &&
+        !outcome.isLocallyAborted &&
+        !outcome.deliverFailure);
     if (isUnreached || isOther) pool.recordFailure(upstreamId, 'refused');
     else if (isAgainst) pool.recordFailure(upstreamId, 'broken');
     const isTurnedAway = outcome.type !== 'failed';
--- a/packages/gateway/src/upstream-pool.test.ts
+++ b/packages/gateway/src/upstream-pool.test.ts
@@ -34,7 +34,8 @@
   });
   pool.setUpstreams([createRecord('usual'), createRecord('slow')]);
   const getSlowness = (id: string) =>
-    pool.listCandidates('plain', NONE).find(each => each.id === id)!.slowness;
+    pool.listCandidates('plain', NONE).find(each => each.id === id)!
+      .latencyRatio;
   for (let round = 0; round < 40; round++) pool.recordSuccess('usual', 10);
   for (let round = 0; round < 10; round++) pool.recordSuccess('slow', 60);
   assert.ok(getSlowness('slow') > 2);
@@ -69,8 +70,8 @@
   for (; nowMs < 10_000; nowMs += stepMs) {
     for (const pool of pools) {
       const [candidate] = pool.listCandidates('plain', NONE);
-      if (!candidate.hasShare) continue;
-      pool.recordOwnChoice('cold');
+      if (!candidate.hasSendQuota) continue;
+      pool.recordUncoordinatedChoice('cold');
       sentAtMs.push(nowMs);
     }
   }
@@ -82,5 +83,5 @@
   assert.ok(most <= WARM_UP.requestsPerSecond, `${most} in a second`);
   assert.ok(sentAtMs.length > 10, `${sentAtMs.length} in all`);
   pools[0].setUpstreams([{...createRecord('cold'), coldUntilMs: 0}]);
-  assert.equal(pools[0].listCandidates('plain', NONE)[0].hasShare, true);
+  assert.equal(pools[0].listCandidates('plain', NONE)[0].hasSendQuota, true);
 });
--- a/packages/gateway/src/upstream-pool.ts
+++ b/packages/gateway/src/upstream-pool.ts
@@ -1,10 +1,10 @@
 import {
-  findShortage,
+  findUnavailability,
   getColdUntilMs,
-  isTakingWork,
+  isAcceptingWork,
   type RegisteredUpstream,
   type RouteTable,
-  type Shortage,
+  type Unavailability,
   type WarmUp,
 } from '@hollowstack/routes';
 import {
@@ -16,7 +16,7 @@
   getEffectiveSlowness,
   isCandidate,
   recordDispatch,
-  recordEnd,
+  recordCompletion,
   recordFailure,
   recordSuccess,
   recordTrial,
@@ -25,7 +25,7 @@
   type LoadState,
 } from '@hollowstack/routing';
 import type {BackOffTable} from '@hollowstack/upstream-signals';
-import type {RequestCandidate} from './upstream-choice.ts';
+import type {UpstreamCandidate} from './upstream-choice.ts';
 
 /** Weight of the newest request in the mean of a service. */
 const MEAN_WEIGHT = 0.05;
@@ -118,7 +118,7 @@
    */
   maySend(id: string): boolean {
     const upstream = this.upstreams.get(id);
-    if (!upstream || !isTakingWork(upstream.record)) return false;
+    if (!upstream || !isAcceptingWork(upstream.record)) return false;
     return this.parts.backOffs.maySend(id);
   }
 
@@ -133,9 +133,9 @@
   }
 
   /** Returns why no upstream of a service can take work; undefined where one can. */
-  findShortage(service: string): Shortage | undefined {
+  findShortage(service: string): Unavailability | undefined {
     const records = this.listRecords(service);
-    return findShortage(service, records, id => this.getWaitMs(id));
+    return findUnavailability(service, records, id => this.getWaitMs(id));
   }
 
   /** Lists the upstreams of a service. */
@@ -144,7 +144,7 @@
   }
 
   /** Lists the upstreams of a service to which this instance may send nothing now. */
-  listClosed(service: string): string[] {
+  listBlocked(service: string): string[] {
     return this.listIds(service).filter(id => !this.maySend(id));
   }
 
@@ -152,9 +152,9 @@
   listCandidates(
     service: string,
     excluded: ReadonlySet<string>,
-  ): RequestCandidate[] {
+  ): UpstreamCandidate[] {
     const nowMs = this.parts.getNow();
-    const candidates: RequestCandidate[] = [];
+    const candidates: UpstreamCandidate[] = [];
     for (const upstream of this.upstreams.values()) {
       const {record, health, load, slowness} = upstream;
       if (record.service !== service || !this.maySend(record.id)) continue;
@@ -164,11 +164,11 @@
         failureDomain: record.failureDomain,
         capacity: record.capacity,
         ownInFlight: load.ownInFlight,
-        slowness: getEffectiveSlowness({
+        latencyRatio: getEffectiveSlowness({
           ...load,
           slowness: slowness.getValue(nowMs),
         }),
-        hasShare: this.hasShare(upstream, nowMs),
+        hasSendQuota: this.hasShare(upstream, nowMs),
       });
     }
     return candidates;
@@ -184,7 +184,7 @@
   }
 
   /** Notes that this instance chose an upstream of its own accord. */
-  recordOwnChoice(id: string): void {
+  recordUncoordinatedChoice(id: string): void {
     const nowMs = this.parts.getNow();
     const upstream = this.upstreams.get(id);
     const perSecond = upstream && this.getOwnRate(upstream.record, nowMs);
@@ -230,7 +230,7 @@
     // the next one free.
     this.applyChange(id, ({health, load}) => ({
       health: health.state === 'trial' ? {...health, state: 'out'} : health,
-      load: recordEnd(load),
+      load: recordCompletion(load),
     }));
   }
 
--- a/packages/gateway/src/upstream-registry.test.ts
+++ b/packages/gateway/src/upstream-registry.test.ts
@@ -168,7 +168,7 @@
 test('an upstream that said itself that it leaves takes no work again in this life, whatever the store or a peer says', () => {
   const {logger, registry} = createRegistry();
   let toldCount = 0;
-  registry.addToldListener(() => (toldCount += 1));
+  registry.addLeavingReportListener(() => (toldCount += 1));
   const listReady = () =>
     registry
       .listUpstreams()
@@ -183,7 +183,7 @@
   registry.recordLeaving('nobody', heard);
   assert.deepEqual(listReady(), []);
   assert.equal(toldCount, 1);
-  assert.deepEqual(registry.listToldLeaving(), ['a@1']);
+  assert.deepEqual(registry.listSelfReportedLeaving(), ['a@1']);
   const lines = logger.names.filter(name => name === 'upstream.leaving');
   assert.equal(lines.length, 2, 'one for b of the registry, one for a');
 
@@ -197,7 +197,11 @@
   registry.applyEvents([
     {type: 'put', key: 'a', value: 'leaving@1', modRevision: 5},
   ]);
-  assert.deepEqual(registry.listToldLeaving(), [], 'the store says it now');
+  assert.deepEqual(
+    registry.listSelfReportedLeaving(),
+    [],
+    'the store says it now',
+  );
   registry.applyEvents([
     {type: 'put', key: 'a', value: 'ready@2', modRevision: 6},
   ]);
@@ -230,8 +234,8 @@
   for (const isLater of [true, false]) {
     const {clock, registry} = createRegistry();
     const restarts: string[] = [];
-    registry.addRestartListener(({before, after}) =>
-      restarts.push(`${before} ${after}`),
+    registry.addRestartListener(({previousId, newId}) =>
+      restarts.push(`${previousId} ${newId}`),
     );
     const told = () => registry.recordLeaving('a', {source: 'answer'});
     if (!isLater) told();
--- a/packages/gateway/src/upstream-registry.ts
+++ b/packages/gateway/src/upstream-registry.ts
@@ -11,7 +11,7 @@
 import type {StoreCopy} from '@hollowstack/types';
 import {ContentRevision} from './content-revision.ts';
 import type {EvacuatedDomains, EvacuationChange} from './evacuated-domains.ts';
-import {DepartedEntries} from './departed-entries.ts';
+import {RemovedEntries} from './removed-entries.ts';
 import {EntryReader} from './entry-reader.ts';
 import {LeavingIds} from './leaving-ids.ts';
 import type {RequestProtocol} from './request-protocol.ts';
@@ -27,7 +27,7 @@
 }
 
 /** Where a change of an upstream was heard of. */
-export interface HeardFrom {
+export interface ReportOrigin {
   /** `answer` for one of its own, `watch` or `store` for its registration, or a peer. */
   readonly source: string;
   /** Request whose answer said it; undefined for other sources. */
@@ -35,9 +35,9 @@
 }
 
 /** Two lives of an upstream under one registered id. */
-export interface Restart {
-  readonly before: string;
-  readonly after: string;
+export interface UpstreamRestart {
+  readonly previousId: string;
+  readonly newId: string;
   /** When the later one began, in Unix milliseconds; infinite where it tells none. */
   readonly startedAtMs: number;
 }
@@ -83,13 +83,14 @@
   /** Entries that were not there after an outage, while they may come back. */
   private readonly missing = new Set<string>();
   private grace: Timer | undefined;
-  private readonly departed = new DepartedEntries();
+  private readonly departed = new RemovedEntries();
   private withheldTimer: Timer | undefined;
   /** When a revision of a later store era was last detected. */
   private restoredAtMs = -Infinity;
   private readonly missingListeners: Array<() => void> = [];
   private readonly toldListeners: Array<() => void> = [];
-  private readonly restartListeners: Array<(restart: Restart) => void> = [];
+  private readonly restartListeners: Array<(restart: UpstreamRestart) => void> =
+    [];
   private readonly revision = new ContentRevision();
   /** Store revision of the last full read that was not stale. */
   private lastReadRevision = 0;
@@ -185,9 +186,9 @@
    * it, whatever the store or a peer's copy still says: the store may be away for long
    * after the upstream has begun to leave.
    */
-  recordLeaving(id: string, heard: HeardFrom): void {
+  recordLeaving(id: string, heard: ReportOrigin): void {
     if (this.leavingIds.has(id)) return;
-    this.leavingIds.addTold(id, this.clock.getNow());
+    this.leavingIds.addSelfReported(id, this.clock.getNow());
     const entry = this.findEntry(id);
     if (!entry) return;
     this.entries.set(entry.key, {
@@ -200,12 +201,12 @@
   }
 
   /** Adds a function that is called when an upstream has started again under its id. */
-  addRestartListener(listener: (restart: Restart) => void): void {
+  addRestartListener(listener: (restart: UpstreamRestart) => void): void {
     this.restartListeners.push(listener);
   }
 
   /** Adds a function that is called when an upstream's own word is news. */
-  addToldListener(listener: () => void): void {
+  addLeavingReportListener(listener: () => void): void {
     this.toldListeners.push(listener);
   }
 
@@ -216,11 +217,11 @@
   }
 
   /** Lists upstreams that leave by their own word, and not yet by their registration. */
-  listToldLeaving(): string[] {
+  listSelfReportedLeaving(): string[] {
     const ids = [...this.entries.values()]
       .filter(({isRegisteredLeaving}) => !isRegisteredLeaving)
       .map(({upstream}) => upstream.id)
-      .filter(id => this.leavingIds.isTold(id));
+      .filter(id => this.leavingIds.isSelfReported(id));
     return ids.slice(-MAX_TOLD_IDS);
   }
 
@@ -260,7 +261,7 @@
   ): void {
     if (storeRevision < this.lastReadRevision) return;
     this.recordEra(storeRevision);
-    this.revision.recordReading(storeRevision);
+    this.revision.recordFullRead(storeRevision);
     this.applyEntries(keyValues, storeRevision, source);
   }
 
@@ -455,13 +456,14 @@
     before: RegisteredUpstream,
     {id, startedAtMs = Infinity}: RegisteredUpstream,
   ): void {
-    const toldAtMs = this.leavingIds.getToldAtMs(before.id) ?? -Infinity;
+    const toldAtMs =
+      this.leavingIds.getSelfReportedAtMs(before.id) ?? -Infinity;
     if (toldAtMs >= startedAtMs) {
-      this.leavingIds.addTold(id, toldAtMs);
+      this.leavingIds.addSelfReported(id, toldAtMs);
       for (const listener of this.toldListeners) listener();
     }
     for (const listener of this.restartListeners) {
-      listener({before: before.id, after: id, startedAtMs});
+      listener({previousId: before.id, newId: id, startedAtMs});
     }
   }
 
@@ -506,7 +508,7 @@
   private logUpstream(
     name: EventName,
     {id, service, address, failureDomain}: RegisteredUpstream,
-    heard: HeardFrom,
+    heard: ReportOrigin,
   ): void {
     this.logger.logEvent(name, {
       upstream: id,
--- a/packages/gateway/src/view-freshness.test.ts
+++ b/packages/gateway/src/view-freshness.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {ManualClock} from '@hollowstack/clock';
 import {createSeededRandom} from '@hollowstack/local-system';
-import {isTakingWork} from '@hollowstack/routes';
+import {isAcceptingWork} from '@hollowstack/routes';
 import {ViewFleet, type ViewInstance} from './test-utils/view-fleet.ts';
 import {OPERATOR_PREFIX, UPSTREAM_PREFIX} from './test-utils/view-store.ts';
 
@@ -38,19 +38,19 @@
 
   /** Lists what an instance does not know though it has evidence that it does. */
   listUnknown(instance: ViewInstance): string[] {
-    const {id, freshness, holder, registry} = instance;
+    const {id, freshness, routeHolder, registry} = instance;
     const configurationMs = freshness.getKnownUntilMs('configuration') ?? 0;
     const upstreamsMs = freshness.getKnownUntilMs('upstreams') ?? 0;
     const revisions = this.configurations
       .filter(
         ({atMs, revision}) =>
-          atMs < configurationMs && revision > holder.getRevision(),
+          atMs < configurationMs && revision > routeHolder.getRevision(),
       )
       .map(({revision}) => `${id}: configuration ${revision}`);
     const sending = new Set(
       registry
         .listUpstreams()
-        .filter(upstream => isTakingWork(upstream))
+        .filter(upstream => isAcceptingWork(upstream))
         .map(upstream => upstream.id),
     );
     const leaves = this.leaves
--- a/packages/gateway/src/watch-timing.ts
+++ b/packages/gateway/src/watch-timing.ts
@@ -1,4 +1,4 @@
-import type {WatchPace} from '@hollowstack/store';
+import type {WatchTiming} from '@hollowstack/store';
 
 /**
  * Part of the time in which a change must be in force that a call of a watch waits.
@@ -33,7 +33,7 @@
 const GATHER_MS_PER_WATCHER = 12;
 
 /** What the pace of a watch follows from. */
-export interface WatchPaceInput {
+export interface WatchTimingInput {
   /** Milliseconds in which a change must be in force here. */
   readonly followWithinMs: number;
   readonly getWatcherCount: () => number;
@@ -43,13 +43,13 @@
  * Creates the pace of a watch that several instances hold. Every change costs
  * each of them a call, so that more of them gather changes for longer.
  */
-export function createWatchPace(input: WatchPaceInput): WatchPace {
+export function createWatchTiming(input: WatchTimingInput): WatchTiming {
   const {followWithinMs} = input;
   return {
     waitMs: followWithinMs * HEARTBEAT_SHARE,
-    marginMs: followWithinMs * MARGIN_SHARE,
+    timeoutMarginMs: followWithinMs * MARGIN_SHARE,
     confirmWithinMs: followWithinMs * CONFIRM_SHARE,
-    get gatherMs() {
+    get batchDelayMs() {
       const forLoadMs = input.getWatcherCount() * GATHER_MS_PER_WATCHER;
       return Math.min(
         followWithinMs * MAX_GATHER_SHARE,
--- a/packages/local-system/src/index.ts
+++ b/packages/local-system/src/index.ts
@@ -1,5 +1,5 @@
 /** A whole system in one process: stand-ins and daemons over loopback or an in-memory network. */
-export {SystemNetwork, type NodeEnvironment} from './system-network.ts';
+export {SystemNetwork, type ProcessEnvironment} from './system-network.ts';
 export {LoopbackNetwork} from './loopback-network.ts';
 export {MemoryNetwork, type MemoryNetworkOptions} from './memory-network.ts';
 export {
--- a/packages/local-system/src/loopback-network.ts
+++ b/packages/local-system/src/loopback-network.ts
@@ -6,7 +6,7 @@
   type HttpHandler,
 } from '@hollowstack/transport';
 import {findFreeAddresses} from './free-addresses.ts';
-import {SystemNetwork, type NodeEnvironment} from './system-network.ts';
+import {SystemNetwork, type ProcessEnvironment} from './system-network.ts';
 
 const HOST = '127.0.0.1';
 
@@ -16,7 +16,7 @@
   private readonly servers = new Map<string, NodeHttpServer>();
   private readonly clients: NodeHttpClient[] = [];
 
-  createEnvironment(): NodeEnvironment {
+  createEnvironment(): ProcessEnvironment {
     const client = new NodeHttpClient();
     this.clients.push(client);
     return {clock: this.clock, client, peerNetwork: new TcpPeerNetwork()};
--- a/packages/local-system/src/memory-http-client.ts
+++ b/packages/local-system/src/memory-http-client.ts
@@ -6,15 +6,15 @@
   type HttpResponse,
 } from '@hollowstack/transport';
 import type {MemoryNetwork, ServedHandler} from './memory-network.ts';
-import type {NodeGate} from './node-gate.ts';
+import type {SimulatedProcess} from './simulated-process.ts';
 
 /** Sends requests through the in-memory network. */
 export class MemoryHttpClient extends HttpClient {
   private readonly network: MemoryNetwork;
   private readonly name: string;
-  private readonly gate: NodeGate;
+  private readonly gate: SimulatedProcess;
 
-  constructor(network: MemoryNetwork, name: string, gate: NodeGate) {
+  constructor(network: MemoryNetwork, name: string, gate: SimulatedProcess) {
     super();
     this.network = network;
     this.name = name;
@@ -39,7 +39,10 @@
   }
 
   private isReachable(served: ServedHandler): boolean {
-    return !served.gate.isDead() && !this.network.isCut(this.name, served.name);
+    return (
+      !served.simulatedProcess.isDead() &&
+      !this.network.isCut(this.name, served.name)
+    );
   }
 }
 
@@ -47,7 +50,7 @@
 class Exchange {
   private readonly network: MemoryNetwork;
   private readonly name: string;
-  private readonly gate: NodeGate;
+  private readonly gate: SimulatedProcess;
   private readonly served: ServedHandler;
   private readonly serverController = new AbortController();
   private readonly cleanups: Array<() => void> = [];
@@ -55,7 +58,7 @@
   constructor(
     network: MemoryNetwork,
     name: string,
-    gate: NodeGate,
+    gate: SimulatedProcess,
     served: ServedHandler,
   ) {
     this.network = network;
@@ -88,7 +91,9 @@
     this.cleanups.push(
       () => request.signal.removeEventListener('abort', cancelAttempt),
       this.gate.addDeathListener(() => void this.cancelAtServer()),
-      this.served.gate.addDeathListener(() => breakOff('connection reset')),
+      this.served.simulatedProcess.addDeathListener(() =>
+        breakOff('connection reset'),
+      ),
     );
   }
 
@@ -98,13 +103,13 @@
     breakOff: (message: string) => void,
   ): Promise<HttpResponse> {
     await this.network.waitLatency(this.name, this.served.name);
-    await this.served.gate.waitUntilRunning();
+    await this.served.simulatedProcess.waitUntilRunning();
     const response = await this.served.handler({
       ...request,
       signal: this.serverController.signal,
     });
     await this.network.waitLatency(this.served.name, this.name);
-    await this.served.gate.waitUntilRunning();
+    await this.served.simulatedProcess.waitUntilRunning();
     if (this.network.takeLostReply(address) || this.isCutOff()) {
       breakOff('connection reset');
       void this.cancelAtServer();
@@ -124,7 +129,9 @@
     request.signal.addEventListener('abort', failGivenUp, {once: true});
     this.cleanups.push(
       () => request.signal.removeEventListener('abort', failGivenUp),
-      this.served.gate.addDeathListener(() => fail('connection reset')),
+      this.served.simulatedProcess.addDeathListener(() =>
+        fail('connection reset'),
+      ),
     );
     void this.sendBody(body, queue, fail);
     return queue;
@@ -137,7 +144,7 @@
   ): Promise<void> {
     try {
       for await (const chunk of body) {
-        await this.served.gate.waitUntilRunning();
+        await this.served.simulatedProcess.waitUntilRunning();
         if (this.isCutOff()) {
           fail('connection reset');
           void this.cancelAtServer();
@@ -160,7 +167,7 @@
 
   private async cancelAtServer(): Promise<void> {
     await this.network.waitLatency(this.name, this.served.name);
-    this.served.gate.deliver(() =>
+    this.served.simulatedProcess.deliver(() =>
       this.serverController.abort(new TransportError('caller gone', 'some')),
     );
   }
--- a/packages/local-system/src/memory-network.ts
+++ b/packages/local-system/src/memory-network.ts
@@ -1,10 +1,10 @@
 import {waitFor, type Clock} from '@hollowstack/clock';
 import type {HttpHandler} from '@hollowstack/transport';
-import {GatedClock} from './gated-clock.ts';
+import {PausableClock} from './pausable-clock.ts';
 import {MemoryHttpClient} from './memory-http-client.ts';
 import {MemoryPeerNetwork, type PeerListener} from './memory-peer-network.ts';
-import {NodeGate} from './node-gate.ts';
-import {SystemNetwork, type NodeEnvironment} from './system-network.ts';
+import {SimulatedProcess} from './simulated-process.ts';
+import {SystemNetwork, type ProcessEnvironment} from './system-network.ts';
 
 /** Delays of the in-memory network. */
 export interface MemoryNetworkOptions {
@@ -15,7 +15,7 @@
 /** What is served at an address. */
 export interface ServedHandler {
   readonly name: string;
-  readonly gate: NodeGate;
+  readonly simulatedProcess: SimulatedProcess;
   readonly handler: HttpHandler;
 }
 
@@ -23,7 +23,7 @@
 export class MemoryNetwork extends SystemNetwork {
   private readonly clock: Clock;
   private readonly options: MemoryNetworkOptions;
-  private readonly gates = new Map<string, NodeGate>();
+  private readonly gates = new Map<string, SimulatedProcess>();
   private readonly handlers = new Map<string, ServedHandler>();
   private readonly listeners = new Map<string, PeerListener>();
   private readonly cuts = new Set<string>();
@@ -38,10 +38,10 @@
     this.options = options;
   }
 
-  createEnvironment(name: string): NodeEnvironment {
-    const gate = this.getGate(name);
+  createEnvironment(name: string): ProcessEnvironment {
+    const gate = this.getProcess(name);
     return {
-      clock: new GatedClock(this.clock, gate),
+      clock: new PausableClock(this.clock, gate),
       client: new MemoryHttpClient(this, name, gate),
       peerNetwork: new MemoryPeerNetwork(this, name, gate),
     };
@@ -56,7 +56,11 @@
     address: string,
     handler: HttpHandler,
   ): Promise<void> {
-    this.handlers.set(address, {name, gate: this.getGate(name), handler});
+    this.handlers.set(address, {
+      name,
+      simulatedProcess: this.getProcess(name),
+      handler,
+    });
   }
 
   async stopServing(address: string): Promise<void> {
@@ -68,24 +72,24 @@
   }
 
   /** Returns the switch that pauses and kills a process. */
-  getGate(name: string): NodeGate {
+  getProcess(name: string): SimulatedProcess {
     let gate = this.gates.get(name);
     if (!gate || gate.isDead()) {
-      gate = new NodeGate();
+      gate = new SimulatedProcess();
       this.gates.set(name, gate);
     }
     return gate;
   }
 
   /** Cuts two processes off from each other, or joins them again. */
-  setCut(left: string, right: string, isCut: boolean): void {
+  setPartitioned(left: string, right: string, isPartitioned: boolean): void {
     const key = createPairKey(left, right);
-    if (isCut) this.cuts.add(key);
+    if (isPartitioned) this.cuts.add(key);
     else this.cuts.delete(key);
   }
 
   /** Joins all processes again. */
-  removeCuts(): void {
+  removePartitions(): void {
     this.cuts.clear();
   }
 
