--- a/packages/local-system/src/memory-peer-network.ts
+++ b/packages/local-system/src/memory-peer-network.ts
@@ -1,11 +1,11 @@
 import {PeerNetwork, type PeerSocket} from '@hollowstack/peers';
 import type {MemoryNetwork} from './memory-network.ts';
-import type {NodeGate} from './node-gate.ts';
+import type {SimulatedProcess} from './simulated-process.ts';
 
 /** Who takes peer streams at an address. */
 export interface PeerListener {
   readonly name: string;
-  readonly gate: NodeGate;
+  readonly simulatedProcess: SimulatedProcess;
   readonly handleSocket: (socket: PeerSocket) => void;
 }
 
@@ -13,10 +13,10 @@
 export class MemoryPeerNetwork extends PeerNetwork {
   private readonly network: MemoryNetwork;
   private readonly name: string;
-  private readonly gate: NodeGate;
+  private readonly gate: SimulatedProcess;
   private address: string | undefined;
 
-  constructor(network: MemoryNetwork, name: string, gate: NodeGate) {
+  constructor(network: MemoryNetwork, name: string, gate: SimulatedProcess) {
     super();
     this.network = network;
     this.name = name;
@@ -29,7 +29,11 @@
   ): Promise<string> {
     this.address = address;
     const {name, gate} = this;
-    this.network.setListener(address, {name, gate, handleSocket});
+    this.network.setListener(address, {
+      name,
+      simulatedProcess: gate,
+      handleSocket,
+    });
     return address;
   }
 
@@ -40,18 +44,18 @@
     await this.gate.waitUntilRunning();
     const isReachable =
       listener &&
-      !listener.gate.isDead() &&
+      !listener.simulatedProcess.isDead() &&
       !this.network.isCut(this.name, listener.name);
     if (!isReachable) throw new Error(`${address} refuses connections`);
     const near = new MemoryPeerSocket(this.network, this.name, this.gate);
     const far = new MemoryPeerSocket(
       this.network,
       listener.name,
-      listener.gate,
+      listener.simulatedProcess,
     );
     near.join(far);
     far.join(near);
-    listener.gate.deliver(() => listener.handleSocket(far));
+    listener.simulatedProcess.deliver(() => listener.handleSocket(far));
     return near;
   }
 
@@ -63,7 +67,7 @@
 class MemoryPeerSocket implements PeerSocket {
   private readonly network: MemoryNetwork;
   private readonly name: string;
-  private readonly gate: NodeGate;
+  private readonly gate: SimulatedProcess;
   private other: MemoryPeerSocket | undefined;
   private handleData: (bytes: Uint8Array) => void = () => {};
   private handleClose: () => void = () => {};
@@ -71,7 +75,7 @@
   // Bytes of one stream keep their order whatever the latencies are.
   private lastDelivery: Promise<void> = Promise.resolve();
 
-  constructor(network: MemoryNetwork, name: string, gate: NodeGate) {
+  constructor(network: MemoryNetwork, name: string, gate: SimulatedProcess) {
     this.network = network;
     this.name = name;
     this.gate = gate;
--- a/packages/local-system/src/pausable-clock.ts
+++ b/packages/local-system/src/pausable-clock.ts
@@ -1,12 +1,12 @@
 import type {Clock, Timer} from '@hollowstack/clock';
-import type {NodeGate} from './node-gate.ts';
+import type {SimulatedProcess} from './simulated-process.ts';
 
 /** A process's view of the clock: its callbacks wait while it is paused. */
-export class GatedClock implements Clock {
+export class PausableClock implements Clock {
   private readonly clock: Clock;
-  private readonly gate: NodeGate;
+  private readonly gate: SimulatedProcess;
 
-  constructor(clock: Clock, gate: NodeGate) {
+  constructor(clock: Clock, gate: SimulatedProcess) {
     this.clock = clock;
     this.gate = gate;
   }
--- a/packages/local-system/src/simulated-process.ts
+++ b/packages/local-system/src/simulated-process.ts
@@ -1,5 +1,5 @@
 /** Whether a process of the in-memory network runs, stands still or is gone. */
-export class NodeGate {
+export class SimulatedProcess {
   private state: 'running' | 'paused' | 'dead' = 'running';
   private waiting: Array<() => void> = [];
   private deathListeners: Array<() => void> = [];
--- a/packages/local-system/src/system-network.ts
+++ b/packages/local-system/src/system-network.ts
@@ -3,7 +3,7 @@
 import type {HttpClient, HttpHandler} from '@hollowstack/transport';
 
 /** What a process of the system has of the world. */
-export interface NodeEnvironment {
+export interface ProcessEnvironment {
   readonly clock: Clock;
   readonly client: HttpClient;
   readonly peerNetwork: PeerNetwork;
@@ -12,7 +12,7 @@
 /** Connects the processes of a local system. */
 export abstract class SystemNetwork {
   /** Creates what one process, known by its name, sees of the network. */
-  abstract createEnvironment(name: string): NodeEnvironment;
+  abstract createEnvironment(name: string): ProcessEnvironment;
 
   /** Chooses an address for a process; nothing listens there yet. */
   abstract reserveAddress(): Promise<string>;
--- a/packages/peers/src/compressed-text.ts
+++ b/packages/peers/src/compressed-text.ts
@@ -5,12 +5,12 @@
 export /**
  *
  */
-const packedTextSchema = z.union([z.string(), z.instanceof(Uint8Array)]);
+const compressedTextSchema = z.union([z.string(), z.instanceof(Uint8Array)]);
 /** A text as it goes to a peer: as it is, or deflated (RFC 1951) where it is long. */
-export type PackedText = z.infer<typeof packedTextSchema>;
+export type CompressedText = z.infer<typeof compressedTextSchema>;
 
 /** A deflated text. */
-type PackedBytes = Exclude<PackedText, string>;
+type PackedBytes = Exclude<CompressedText, string>;
 
 /**
  * Characters from which on a text is deflated; a registration of an upstream, which
@@ -27,7 +27,7 @@
  * 600 KB, and an instance that passes it on to seven others over a link of 7 Mbit/s
  * would need 5 s as it is; deflated it is a tenth of that or less.
  */
-export class TextPacker {
+export class TextCompressor {
   private readonly packed = new Map<string, PackedBytes>();
 
   /**
@@ -35,7 +35,7 @@
    *
    * @param isTaken Whether the peer understands deflated texts.
    */
-  encodeText(text: string, isTaken: boolean): PackedText {
+  encodeText(text: string, isTaken: boolean): CompressedText {
     if (!isTaken || text.length < MIN_PACKED_LENGTH) return text;
     const known = this.packed.get(text);
     if (known) return known;
@@ -57,7 +57,7 @@
  *
  * @throws FrameError where it cannot be inflated within the size of a frame.
  */
-export function decodeText(packed: PackedText): string {
+export function decodeText(packed: CompressedText): string {
   if (typeof packed === 'string') return packed;
   try {
     const options = {maxOutputLength: MAX_FRAME_BYTES};
--- a/packages/peers/src/coordinator.test.ts
+++ b/packages/peers/src/coordinator.test.ts
@@ -13,7 +13,7 @@
   Membership,
   PEER_PREFIX,
   chooseCoordinator,
-  listUnconfirmedRivals,
+  listUnconfirmedCandidates,
   type PeerRecord,
 } from './index.ts';
 
@@ -166,7 +166,7 @@
   const membership = createMembership(store);
   await membership.refresh();
   const listIds = () =>
-    listUnconfirmedRivals(membership, BAN_MS).map(({id}) => id);
+    listUnconfirmedCandidates(membership, BAN_MS).map(({id}) => id);
   assert.deepEqual(listIds(), [first, second, third]);
   membership.recordUnreachable(first);
   membership.handleEvents([createPut(second, 8, 1.35)]);
@@ -180,11 +180,11 @@
   membership.handleEvents([createPut('strong', 3, 2)]);
   membership.recordUnreachable('strong');
   const listIds = () =>
-    listUnconfirmedRivals(membership, BAN_MS).map(({id}) => id);
+    listUnconfirmedCandidates(membership, BAN_MS).map(({id}) => id);
   assert.deepEqual(listIds(), []);
   await clock.advance(BAN_MS + 1);
   assert.deepEqual(listIds(), ['strong']);
-  membership.recordHeard(createRecord('strong', 2));
+  membership.recordContact(createRecord('strong', 2));
   assert.equal(getCoordinatorId(membership), 'strong');
 });
 
@@ -192,14 +192,14 @@
   const membership = createMembership();
   membership.addPeer(createRecord('strong', 2));
   assert.equal(getCoordinatorId(membership), 'self');
-  membership.recordHeard(createRecord('strong', 2));
+  membership.recordContact(createRecord('strong', 2));
   assert.equal(getCoordinatorId(membership), 'strong');
 });
 
 test('without any registration all choose alike among those heard of', () => {
   const membership = createMembership();
-  membership.recordHeard(createRecord('b'));
-  membership.recordHeard(createRecord('c'));
+  membership.recordContact(createRecord('b'));
+  membership.recordContact(createRecord('c'));
   const [first] = listByRendezvous('coordinator', ['self', 'b', 'c']);
   assert.equal(getCoordinatorId(membership), first);
 });
--- a/packages/peers/src/coordinator.ts
+++ b/packages/peers/src/coordinator.ts
@@ -43,7 +43,7 @@
  *
  * @param banMs Milliseconds for which a peer that did not answer is left alone.
  */
-export function listUnconfirmedRivals(
+export function listUnconfirmedCandidates(
   membership: Membership,
   banMs: number,
 ): PeerRecord[] {
--- a/packages/peers/src/index.ts
+++ b/packages/peers/src/index.ts
@@ -13,25 +13,29 @@
 export {
   peerRequestSchema,
   peerReplySchema,
-  type CopyWishes,
+  type RequestedCopies,
   type ViewOffsets,
   type EvacuationState,
-  type PeerNote,
+  type PeerNotification,
   type PeerRecord,
   type PeerReply,
   type PeerRequest,
 } from './messages.ts';
-export {chooseCoordinator, listUnconfirmedRivals} from './coordinator.ts';
+export {chooseCoordinator, listUnconfirmedCandidates} from './coordinator.ts';
 export {Membership, PEER_PREFIX, type MembershipParts} from './membership.ts';
-export {
-  RevisionExchange,
-  type RevisionExchangeParts,
-} from './revision-exchange.ts';
-export {ShareKeeper} from './share-keeper.ts';
+export {RevisionGossip, type RevisionGossipParts} from './revision-gossip.ts';
+export {ShareAllocator} from './share-allocator.ts';
 export {
   ShareClient,
   type ShareClientParts,
   type WorkspaceShare,
 } from './share-client.ts';
-export {TextPacker, decodeText, type PackedText} from './packed-text.ts';
-export {NoteQueue, type NoteQueueParts} from './note-queue.ts';
+export {
+  TextCompressor,
+  decodeText,
+  type CompressedText,
+} from './compressed-text.ts';
+export {
+  NotificationQueue,
+  type NotificationQueueParts,
+} from './notification-queue.ts';
--- a/packages/peers/src/membership.ts
+++ b/packages/peers/src/membership.ts
@@ -6,7 +6,7 @@
   type KeyValueStore,
   type RangeResult,
   type WatchEvent,
-  type WatchPace,
+  type WatchTiming,
   type WatchSubscription,
 } from '@hollowstack/store';
 import {peerRecordSchema, type PeerRecord} from './messages.ts';
@@ -15,10 +15,10 @@
 export const PEER_PREFIX = 'hollowstack/instances/';
 
 /** Peers tell of each other as well, so the list itself may lag a little. */
-const WATCH_PACE: WatchPace = {
+const WATCH_PACE: WatchTiming = {
   waitMs: 28_000,
-  gatherMs: 1000,
-  marginMs: 1000,
+  batchDelayMs: 1000,
+  timeoutMarginMs: 1000,
 };
 
 /** Milliseconds of a registration where the wiring sets none. */
@@ -59,7 +59,7 @@
 export class Membership implements WatchSubscription {
   readonly range: KeyRange = {
     ...createPrefixRange(PEER_PREFIX),
-    watchPace: WATCH_PACE,
+    watchTiming: WATCH_PACE,
   };
   private readonly parts: MembershipParts;
   private readonly registered = new Map<string, PeerRecord>();
@@ -180,7 +180,7 @@
   }
 
   /** Notes that a peer was heard of just now. */
-  recordHeard(record: PeerRecord): void {
+  recordContact(record: PeerRecord): void {
     const isNew = !this.heard.has(record.id) && !this.registered.has(record.id);
     const wasOut =
       this.unreachable.delete(record.id) || !this.confirmed.has(record.id);
--- a/packages/peers/src/messages.ts
+++ b/packages/peers/src/messages.ts
@@ -15,7 +15,7 @@
   suspectReportSchema,
 } from '@hollowstack/types';
 import {z} from 'zod';
-import {packedTextSchema} from './packed-text.ts';
+import {compressedTextSchema} from './compressed-text.ts';
 
 const peerRecordSchema = z.object({
   id: z.string(),
@@ -45,13 +45,13 @@
 const storeEventSchema = z.object({
   type: z.enum(['put', 'delete']),
   key: z.string(),
-  value: packedTextSchema,
+  value: compressedTextSchema,
   modRevision: z.number(),
 });
 
 const storeKeyValueSchema = z.object({
   key: z.string(),
-  value: packedTextSchema,
+  value: compressedTextSchema,
   modRevision: z.number(),
   createRevision: z.number(),
 });
@@ -79,7 +79,7 @@
   packed: z.boolean().default(false),
 });
 /** What an asker wants sent along. */
-export type CopyWishes = z.infer<typeof copyWishesSchema>;
+export type RequestedCopies = z.infer<typeof copyWishesSchema>;
 
 /**
  * Ids of upstreams that said in an answer that they leave, where the store does not
@@ -106,7 +106,7 @@
   }),
 ]);
 /** What a peer is only told. */
-export type PeerNote = z.infer<typeof peerNoteSchema>;
+export type PeerNotification = z.infer<typeof peerNoteSchema>;
 
 /** What one instance asks another. */
 export const peerRequestSchema = z.discriminatedUnion('type', [
@@ -267,7 +267,7 @@
     limits: limitsSchema,
     viewOffsetsMs: viewOffsetsSchema.optional(),
     /** The stored text of a configuration newer than the asker's. */
-    configurationText: packedTextSchema.optional(),
+    configurationText: compressedTextSchema.optional(),
     /** What is known of the upstreams, where it is newer than the asker's. */
     upstreams: storeCopySchema.optional(),
     members: z.array(peerRecordSchema).optional(),
--- a/packages/peers/src/note-queue.test.ts
+++ b/packages/peers/src/note-queue.test.ts
@@ -1,12 +1,12 @@
 import {ManualClock} from '@hollowstack/clock';
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {NoteQueue, type PeerReply, type PeerRequest} from './index.ts';
+import {NotificationQueue, type PeerReply, type PeerRequest} from './index.ts';
 
 function createQueue(answer: () => Promise<PeerReply>) {
   const clock = new ManualClock();
   const sent: Array<{address: string; request: PeerRequest}> = [];
-  const queue = new NoteQueue({
+  const queue = new NotificationQueue({
     clock,
     link: {
       sendRequest: (address, request) => {
@@ -31,7 +31,7 @@
     type: 'done',
   }));
   const told = ['a', 'a', 'b', 'a'].map((address, index) =>
-    queue.sendNote(address, createNote(`${index}`)),
+    queue.sendNotification(address, createNote(`${index}`)),
   );
   await clock.advance(100);
   await Promise.all(told);
@@ -45,7 +45,7 @@
 test('many notes do not wait for the others', async () => {
   const {queue, countNotes} = createQueue(async () => ({type: 'done'}));
   for (let index = 0; index < 65; index++) {
-    void queue.sendNote('a', createNote(`${index}`));
+    void queue.sendNotification('a', createNote(`${index}`));
   }
   assert.deepEqual(countNotes(), [64]);
 });
@@ -59,7 +59,7 @@
   ]) {
     const {clock, queue} = createQueue(answer);
     const told = [1, 2].map(index =>
-      queue.sendNote('a', createNote(`${index}`)),
+      queue.sendNotification('a', createNote(`${index}`)),
     );
     const settled = Promise.allSettled(told);
     await clock.advance(100);
--- a/packages/peers/src/notification-queue.ts
+++ b/packages/peers/src/notification-queue.ts
@@ -1,16 +1,16 @@
 import type {Clock, Timer} from '@hollowstack/clock';
 import {HollowstackError} from '@hollowstack/errors';
-import type {PeerNote} from './messages.ts';
+import type {PeerNotification} from './messages.ts';
 import type {PeerLink} from './peer-link.ts';
 
 /** Dependencies of NoteQueue. */
-export interface NoteQueueParts {
+export interface NotificationQueueParts {
   readonly clock: Clock;
   readonly link: Pick<PeerLink, 'sendRequest'>;
 }
 
 interface WaitingNote {
-  readonly note: PeerNote;
+  readonly note: PeerNotification;
   readonly resolve: () => void;
   readonly reject: (error: unknown) => void;
 }
@@ -36,11 +36,11 @@
  * costs both sides a frame, its tag and a reply, some 0.13 ms of a fresh
  * process, reckoned from a profile of 75 requests.
  */
-export class NoteQueue {
-  private readonly parts: NoteQueueParts;
+export class NotificationQueue {
+  private readonly parts: NotificationQueueParts;
   private readonly waiting = new Map<string, WaitingBatch>();
 
-  constructor(parts: NoteQueueParts) {
+  constructor(parts: NotificationQueueParts) {
     this.parts = parts;
   }
 
@@ -49,7 +49,7 @@
    *
    * @throws HollowstackError `peer-refused` where it cannot be told.
    */
-  sendNote(address: string, note: PeerNote): Promise<void> {
+  sendNotification(address: string, note: PeerNotification): Promise<void> {
     return new Promise((resolve, reject) => {
       const batch = this.waiting.get(address) ?? this.addBatch(address);
       batch.notes.push({note, resolve, reject});
--- a/packages/peers/src/peer-link.ts
+++ b/packages/peers/src/peer-link.ts
@@ -185,7 +185,7 @@
           resolve(stream);
         },
         handleEnvelope: envelope => {
-          stream.recordHeard();
+          stream.recordContact();
           this.handleEnvelope(envelope, session, address, stream);
         },
         handleClose: refusal => {
--- a/packages/peers/src/peer-stream.ts
+++ b/packages/peers/src/peer-stream.ts
@@ -57,7 +57,7 @@
   }
 
   /** Notes that the peer was heard just now. */
-  recordHeard(): void {
+  recordContact(): void {
     this.unansweredSinceMs = undefined;
   }
 
--- a/packages/peers/src/revision-gossip.ts
+++ b/packages/peers/src/revision-gossip.ts
@@ -5,7 +5,7 @@
 import type {PeerLink} from './peer-link.ts';
 
 /** What the exchange works with. */
-export interface RevisionExchangeParts {
+export interface RevisionGossipParts {
   readonly link: PeerLink;
   readonly membership: Membership;
   readonly clock: Clock;
@@ -36,11 +36,11 @@
  * Tells a few peers a second which revision is in force, and learns of newer
  * ones.
  */
-export class RevisionExchange {
-  private readonly parts: RevisionExchangeParts;
+export class RevisionGossip {
+  private readonly parts: RevisionGossipParts;
   private readonly task: RepeatingTask;
 
-  constructor(parts: RevisionExchangeParts) {
+  constructor(parts: RevisionGossipParts) {
     this.parts = parts;
     this.task = new RepeatingTask(parts.clock, parts.random, async () => {
       await this.runRound();
@@ -66,7 +66,7 @@
   private choosePeers(): string[] {
     const {membership, seeds, random} = this.parts;
     const peers = membership.listReachablePeers();
-    const chosen = choosePeersOverDomains(peers, FAN_OUT, random).map(
+    const chosen = choosePeersAcrossDomains(peers, FAN_OUT, random).map(
       ({address}) => address,
     );
     // With few peers at hand the list may be an outage's or a backup's: the
@@ -115,7 +115,7 @@
       .sendRequest(address, {type: 'members'}, TIMEOUT_MS)
       .catch((): undefined => undefined);
     if (reply?.type !== 'members') return;
-    for (const member of reply.members) membership.recordHeard(member);
+    for (const member of reply.members) membership.recordContact(member);
   }
 
   private recordUnreachable(address: string): void {
@@ -132,7 +132,7 @@
 }
 
 /** Chooses peers at random, each failure domain in its turn. */
-export function choosePeersOverDomains(
+export function choosePeersAcrossDomains(
   peers: readonly PeerRecord[],
   count: number,
   random: () => number,
--- a/packages/peers/src/share-allocator.ts
+++ b/packages/peers/src/share-allocator.ts
@@ -1,4 +1,4 @@
-import {computeShares, type Demand} from '@hollowstack/admission';
+import {computeShares, type LimitDemand} from '@hollowstack/admission';
 import type {Clock} from '@hollowstack/clock';
 
 interface ReportedDemand {
@@ -22,7 +22,7 @@
  * Part of a limit that is kept for instances that have not reported yet, of what
  * nobody asks for: what a fresh instance asks for first.
  */
-export const RESERVED_PART = 1 / 3;
+export const RESERVED_FRACTION = 1 / 3;
 
 /** What one instance may use of a workspace's limits. */
 export interface GrantedShare {
@@ -35,7 +35,7 @@
  * state is what was reported in the last seconds: another instance that takes
  * a workspace over has it again after one round.
  */
-export class ShareKeeper {
+export class ShareAllocator {
   private readonly clock: Clock;
   private readonly reports = new Map<string, Map<string, ReportedDemand>>();
 
@@ -105,14 +105,14 @@
   readGranted: (report: ReportedDemand) => number,
   liveCount: number,
 ): number {
-  const demands: Demand[] = [];
+  const demands: LimitDemand[] = [];
   let granted = 0;
   for (const [id, report] of reports) {
     demands.push({instance: id, amount: readDemand(report)});
     if (id !== instance) granted += readGranted(report);
   }
   const isComplete = reports.size >= liveCount;
-  const reserve = isComplete ? 0 : limit * RESERVED_PART;
+  const reserve = isComplete ? 0 : limit * RESERVED_FRACTION;
   const share = computeShare(limit, demands, instance, reserve);
   const evenPart = limit / Math.max(liveCount, reports.size);
   return Math.min(share, Math.max(evenPart, limit - granted));
@@ -122,7 +122,7 @@
 // kept for instances that may come.
 function computeShare(
   limit: number,
-  demands: readonly Demand[],
+  demands: readonly LimitDemand[],
   instance: string,
   reserve: number,
 ): number {
@@ -133,7 +133,7 @@
 
 function findShare(
   limit: number,
-  demands: readonly Demand[],
+  demands: readonly LimitDemand[],
   instance: string,
 ): number {
   const shares = computeShares(limit, demands);
--- a/packages/peers/src/share-client.test.ts
+++ b/packages/peers/src/share-client.test.ts
@@ -6,7 +6,7 @@
 import type {PeerRequest} from './messages.ts';
 import type {PeerLink} from './peer-link.ts';
 import {ShareClient} from './share-client.ts';
-import {ShareKeeper} from './share-keeper.ts';
+import {ShareAllocator} from './share-allocator.ts';
 
 const LIMIT = 30;
 const INSTANCES = 9;
@@ -30,12 +30,12 @@
 class ShareFleet {
   readonly clients: ShareClient[] = [];
   private readonly clock: ManualClock;
-  private readonly keepers = new Map<string, ShareKeeper>();
+  private readonly keepers = new Map<string, ShareAllocator>();
 
   constructor(clock: ManualClock, count: number, random = () => 0.5) {
     this.clock = clock;
     const ids = Array.from({length: count}, (_, index) => `instance-${index}`);
-    for (const id of ids) this.keepers.set(id, new ShareKeeper(clock));
+    for (const id of ids) this.keepers.set(id, new ShareAllocator(clock));
     const records = ids.map(id => ({id, address: id, failureDomain: 'a'}));
     for (const self of records) {
       const membership = {
@@ -50,7 +50,7 @@
               this.answer(address, request),
           } as unknown as PeerLink,
           membership,
-          keeper: this.keepers.get(self.id)!,
+          allocator: this.keepers.get(self.id)!,
           clock,
           random,
           getWorkspace: () => WORKSPACE,
--- a/packages/peers/src/share-client.ts
+++ b/packages/peers/src/share-client.ts
@@ -5,17 +5,17 @@
 import type {Membership} from './membership.ts';
 import type {PeerLink} from './peer-link.ts';
 import {
-  RESERVED_PART,
+  RESERVED_FRACTION,
   type GrantedShare,
   type ShareDemand,
-  type ShareKeeper,
-} from './share-keeper.ts';
+  type ShareAllocator,
+} from './share-allocator.ts';
 
 /** What the client works with. */
 export interface ShareClientParts {
   readonly link: PeerLink;
   readonly membership: Membership;
-  readonly keeper: ShareKeeper;
+  readonly allocator: ShareAllocator;
   readonly clock: Clock;
   readonly random: () => number;
   readonly getWorkspace: (name: string) => Workspace | undefined;
@@ -163,14 +163,14 @@
     workspace: Workspace,
     demand: ShareDemand,
   ): Promise<GrantedShare | undefined> {
-    const {link, membership, keeper} = this.parts;
+    const {link, membership, allocator} = this.parts;
     const self = membership.getSelf();
     const peers = membership.listPeers();
     const ids = [self.id, ...peers.map(({id}) => id)];
     const keeperId = listByRendezvous(workspace.name, ids)[0];
     const address = peers.find(({id}) => id === keeperId)?.address;
     if (address === undefined) {
-      return keeper.grantShare(
+      return allocator.grantShare(
         workspace.name,
         self.id,
         demand,
@@ -223,8 +223,8 @@
     const {clock} = this.parts;
     const {requestsPerSecond, concurrentRequests} = workspace.limits;
     const asking = this.askKeeper(workspace, {
-      requestsPerSecond: requestsPerSecond * RESERVED_PART,
-      inFlight: concurrentRequests * RESERVED_PART,
+      requestsPerSecond: requestsPerSecond * RESERVED_FRACTION,
+      inFlight: concurrentRequests * RESERVED_FRACTION,
     });
     const share = await Promise.race([
       asking,
--- a/packages/pipeline/src/attempt-error.ts
+++ b/packages/pipeline/src/attempt-error.ts
@@ -11,7 +11,7 @@
 export interface AttemptErrorOptions {
   readonly cause?: unknown;
   /** Whether no byte of the call has left this instance. */
-  readonly neverLeft?: boolean;
+  readonly isUnsent?: boolean;
   readonly retryAfterMs?: number;
 }
 
@@ -25,12 +25,12 @@
   constructor(
     failure: AttemptFailure,
     message: string,
-    {cause, neverLeft = false, retryAfterMs}: AttemptErrorOptions = {},
+    {cause, isUnsent = false, retryAfterMs}: AttemptErrorOptions = {},
   ) {
     super(message, {cause});
     this.name = 'AttemptError';
     this.failure = failure;
-    this.neverLeft = neverLeft;
+    this.neverLeft = isUnsent;
     this.retryAfterMs = retryAfterMs;
   }
 
--- a/packages/pipeline/src/attempt.test.ts
+++ b/packages/pipeline/src/attempt.test.ts
@@ -7,7 +7,7 @@
   readBody,
   type HttpResponse,
 } from '@hollowstack/transport';
-import {Attempt, type AttemptWatch} from './attempt.ts';
+import {Attempt, type AttemptMonitor} from './attempt.ts';
 
 const CALL = {
   method: 'POST',
@@ -27,8 +27,12 @@
   }
 }
 
-function createWatch(getLastSignAtMs: () => number): AttemptWatch {
-  return {silenceMs: SILENCE_MS, getLastSignAtMs, recordByte: () => {}};
+function createWatch(getLastSignAtMs: () => number): AttemptMonitor {
+  return {
+    silenceMs: SILENCE_MS,
+    getLastActivityAtMs: getLastSignAtMs,
+    recordChunk: () => {},
+  };
 }
 
 async function readAnswer(
--- a/packages/pipeline/src/attempt.ts
+++ b/packages/pipeline/src/attempt.ts
@@ -37,13 +37,13 @@
 const SERVICE_UNAVAILABLE = 503;
 
 /** What an attempt needs to know of its upstream, and tells of it. */
-export interface AttemptWatch {
+export interface AttemptMonitor {
   /** Milliseconds without a byte from the upstream after which to give up. */
   readonly silenceMs: number;
   /** Returns when the upstream last gave a sign of being at work. */
-  getLastSignAtMs(): number;
+  getLastActivityAtMs(): number;
   /** Called for each chunk. */
-  recordByte(): void;
+  recordChunk(): void;
 }
 
 /**
@@ -54,7 +54,7 @@
   private readonly client: HttpClient;
   private readonly clock: Clock;
   private readonly attemptId: string;
-  private readonly watch: AttemptWatch;
+  private readonly watch: AttemptMonitor;
   private readonly controller = new AbortController();
   private readonly parent: AbortSignal;
   private readonly followParent = () =>
@@ -72,7 +72,7 @@
     client: HttpClient,
     clock: Clock,
     attemptId: string,
-    watch: AttemptWatch,
+    watch: AttemptMonitor,
     parent: AbortSignal,
   ) {
     this.client = client;
@@ -140,7 +140,7 @@
       for await (const chunk of body) {
         if (this.failure) throw this.failure;
         this.lastByteAtMs = this.clock.getNow();
-        this.watch.recordByte();
+        this.watch.recordChunk();
         this.firstByteMs ??= this.lastByteAtMs - this.startedAtMs;
         yield chunk;
       }
@@ -173,7 +173,7 @@
   // An upstream that answers others is not stuck: what is silent here waits
   // in its queue, and sending it elsewhere would only add to the load.
   private getSilentMs(ownSilentMs: number): number {
-    const sinceSignMs = this.clock.getNow() - this.watch.getLastSignAtMs();
+    const sinceSignMs = this.clock.getNow() - this.watch.getLastActivityAtMs();
     return Math.min(ownSilentMs, sinceSignMs);
   }
 
@@ -190,7 +190,7 @@
         this.failure?.failure === 'given-up' ? 'given-up' : 'refused';
       return new AttemptError(failure, error.message, {
         cause: error,
-        neverLeft: true,
+        isUnsent: true,
       });
     }
     if (this.failure) return this.failure;
--- a/packages/pipeline/src/group-runner.ts
+++ b/packages/pipeline/src/group-runner.ts
@@ -4,14 +4,14 @@
 import {match} from 'ts-pattern';
 import {AttemptError} from './attempt-error.ts';
 import {Attempt, REQUEST_ID_HEADER} from './attempt.ts';
-import type {Place} from './place-queue.ts';
+import type {PoolSlot} from './pool-slot-queue.ts';
 import type {RequestContext} from './request-context.ts';
 import type {UpstreamGroup} from './upstream-group.ts';
 import {
   EFFORTS,
   getAffinityKey,
   getFirstByteKey,
-  toPlacedWork,
+  toRoutableWork,
   type GroupOutcome,
   type GroupRunnerParts,
   type GroupWork,
@@ -65,20 +65,20 @@
     context: RequestContext,
   ): void {
     const {identity, clock} = context;
-    const placed = toPlacedWork(work, context);
+    const placed = toRoutableWork(work, context);
     const bestMs = group.predictBestMs(placed);
     if (bestMs === undefined) {
       throw this.createUnavailable(group, work, context);
     }
     if (!this.parts.policy.refuseDoomed) return;
     const usualMs = group.durations.getMeanMs(placed.classKey, bestMs);
-    const ahead = group.places.countAhead(identity.priority);
+    const ahead = group.slotQueue.countAhead(identity.priority);
     const verdict = judgeDeadline({
       nowMs: clock.getNow(),
       deadlineMs: identity.deadlineMs,
-      waitMs: (ahead * bestMs) / group.places.getLimit(),
-      remainingMs: Math.max(bestMs, usualMs) + work.laterMs,
-      confidence: EFFORTS[identity.objective].confidence,
+      waitMs: (ahead * bestMs) / group.slotQueue.getLimit(),
+      remainingMs: Math.max(bestMs, usualMs) + work.laterStagesMs,
+      requiredShare: EFFORTS[identity.objective].requiredShare,
     });
     if (verdict.isReachable) return;
     const {leftMs, neededMs, retryAfterMs} = verdict;
@@ -88,7 +88,7 @@
       'refused: the predicted finish lies behind the deadline',
       [
         `left ${leftMs.toFixed(0)} ms, needed ${neededMs.toFixed(0)} ms`,
-        `${ahead} ahead, ${work.laterMs.toFixed(0)} ms for later stages`,
+        `${ahead} ahead, ${work.laterStagesMs.toFixed(0)} ms for later stages`,
       ],
       `pipelines.${identity.target}.deadlineMs of workspace ${identity.workspace}`,
     );
@@ -103,15 +103,15 @@
     group: UpstreamGroup,
     work: GroupWork,
     context: RequestContext,
-  ): Promise<Place> {
+  ): Promise<PoolSlot> {
     const {identity, signal} = context;
-    const bestMs = group.predictBestMs(toPlacedWork(work, context)) ?? 0;
-    const {confidence} = EFFORTS[identity.objective];
+    const bestMs = group.predictBestMs(toRoutableWork(work, context)) ?? 0;
+    const {requiredShare} = EFFORTS[identity.objective];
     const neededMs = this.parts.policy.refuseDoomed
-      ? (bestMs + work.laterMs) * confidence
+      ? (bestMs + work.laterStagesMs) * requiredShare
       : 0;
     try {
-      return await group.places.acquirePlace(
+      return await group.slotQueue.acquireSlot(
         {
           workspace: identity.workspace,
           priority: identity.priority,
@@ -127,7 +127,7 @@
           'queue',
           `refused: ${error.message}`,
           [
-            `limit ${group.places.getLimit()}, in service ${group.places.total}`,
+            `limit ${group.slotQueue.getLimit()}, in service ${group.slotQueue.total}`,
           ],
           `concurrencyPerUpstream of ${group.getSettings().name}`,
         );
@@ -144,7 +144,7 @@
   ): Promise<string> {
     const choice = this.chooseUpstream(group, work, context, tried);
     const upstream = group.getUpstream(choice.id)!;
-    const placed = toPlacedWork(work, context);
+    const placed = toRoutableWork(work, context);
     const startedAtMs = this.parts.clock.getNow();
     tried.add(choice.id);
     const occupancy = group.recordDispatch(choice.id);
@@ -154,8 +154,8 @@
       context.createAttemptId(),
       {
         silenceMs: this.computeSilenceMs(group, work, context, occupancy),
-        getLastSignAtMs: () => group.getLastSignAtMs(choice.id),
-        recordByte: () => group.recordByte(choice.id),
+        getLastActivityAtMs: () => group.getLastActivityAtMs(choice.id),
+        recordChunk: () => group.recordChunk(choice.id),
       },
       context.signal,
     );
@@ -198,7 +198,7 @@
     context: RequestContext,
     tried: ReadonlySet<string>,
   ): Choice {
-    const placed = toPlacedWork(work, context);
+    const placed = toRoutableWork(work, context);
     const candidates = group.listCandidates(placed, tried);
     const {prompt} = placed;
     const choice = this.parts.selector.chooseUpstream({
@@ -258,7 +258,7 @@
       failure: error.failure,
     });
     match(error.failure)
-      .with('given-up', () => group.recordGivenUp(upstream))
+      .with('given-up', () => group.recordCancelled(upstream))
       .with('not-run', () =>
         group.recordNotRun(upstream, error.retryAfterMs ?? 0),
       )
@@ -274,7 +274,7 @@
       .with('silent', () => {
         // Work that waited in vain at an upstream which does its work says
         // that it is full, not that it is stuck.
-        if (group.isProgressing(upstream)) group.recordGivenUp(upstream);
+        if (group.isProgressing(upstream)) group.recordCancelled(upstream);
         else group.recordFailure(upstream, 'broken');
       })
       .with('broken', () => group.recordFailure(upstream, 'broken'))
@@ -296,7 +296,7 @@
       mayHaveRun: error.mayHaveRun(),
       isRepeatable: work.isRepeatable,
       leftMs: context.getLeftMs(),
-      predictedMs: group.predictBestMs(toPlacedWork(work, context)) ?? 0,
+      predictedMs: group.predictBestMs(toRoutableWork(work, context)) ?? 0,
     });
     // The budget keeps retries from multiplying load; what did not run is none.
     const isAllowed =
--- a/packages/pipeline/src/group-settings.ts
+++ b/packages/pipeline/src/group-settings.ts
@@ -27,7 +27,7 @@
 }
 
 /** A piece of work as far as its placing goes. */
-export interface PlacedWork {
+export interface RoutableWork {
   /** Work of one class takes about as long each time. */
   readonly classKey: string;
   /** Size where nothing was measured yet, in units of one expected request. */
--- a/packages/pipeline/src/group-work.ts
+++ b/packages/pipeline/src/group-work.ts
@@ -3,7 +3,7 @@
 import type {MetricsRegistry} from '@hollowstack/metrics';
 import type {UpstreamSelector} from '@hollowstack/routing';
 import type {HttpClient} from '@hollowstack/transport';
-import type {PlacedWork} from './group-settings.ts';
+import type {RoutableWork} from './group-settings.ts';
 import type {RequestContext} from './request-context.ts';
 import type {StageCall} from './stage-call.ts';
 
@@ -33,7 +33,7 @@
   readonly call: StageCall;
   readonly isRepeatable: boolean;
   /** Predicted milliseconds of the stages behind this one. */
-  readonly laterMs: number;
+  readonly laterStagesMs: number;
 }
 
 /** How a piece of work was done. */
@@ -47,7 +47,7 @@
 export interface Effort {
   readonly maxAttempts: number;
   /** Share of a predicted duration that must fit into the time left. */
-  readonly confidence: number;
+  readonly requiredShare: number;
 }
 
 /**
@@ -55,8 +55,8 @@
  * on one that is not likely to make it.
  */
 export const EFFORTS: Readonly<Record<'attainment' | 'cost', Effort>> = {
-  attainment: {maxAttempts: 3, confidence: 0.7},
-  cost: {maxAttempts: 2, confidence: 0.95},
+  attainment: {maxAttempts: 3, requiredShare: 0.7},
+  cost: {maxAttempts: 2, requiredShare: 0.95},
 };
 
 /**
@@ -71,13 +71,13 @@
 }
 
 /** Returns what matters of a piece of work for its placing. */
-export function toPlacedWork(
+export function toRoutableWork(
   {stage, call}: GroupWork,
   {identity}: RequestContext,
-): PlacedWork {
+): RoutableWork {
   return {
     classKey: `${identity.workspace}/${identity.target}/${stage}`,
-    units: call.getWork(),
+    units: call.getRemainingUnits(),
     model: call.getModel(),
     prompt: call.getPrompt(),
   };
@@ -88,5 +88,5 @@
   work: GroupWork,
   context: RequestContext,
 ): string {
-  return `${toPlacedWork(work, context).classKey}/first-byte`;
+  return `${toRoutableWork(work, context).classKey}/first-byte`;
 }
--- a/packages/pipeline/src/pipeline-runner.ts
+++ b/packages/pipeline/src/pipeline-runner.ts
@@ -6,7 +6,7 @@
 import type {RequestContext} from './request-context.ts';
 import type {PipelineResult, ResultSink, StageTiming} from './result.ts';
 import {
-  TOKENS_PER_WORK,
+  TOKENS_PER_WORK_UNIT,
   createStageCall,
   type StageState,
 } from './stage-calls.ts';
@@ -79,7 +79,12 @@
       priority,
       sink,
     );
-    const work = {stage: stage.name, call, isRepeatable: true, laterMs};
+    const work = {
+      stage: stage.name,
+      call,
+      isRepeatable: true,
+      laterStagesMs: laterMs,
+    };
     const outcome = await this.runner
       .runWork(group, work, context)
       .catch((error: unknown) => {
@@ -109,7 +114,7 @@
       const {expectedMs} = group.getSettings();
       const work =
         stage.kind === 'generate'
-          ? request.pipeline.maxTokens / TOKENS_PER_WORK
+          ? request.pipeline.maxTokens / TOKENS_PER_WORK_UNIT
           : 1;
       totalMs += group.durations.getMeanMs(
         getStageKey(stage, context),
--- a/packages/pipeline/src/pool-slot-queue.ts
+++ b/packages/pipeline/src/pool-slot-queue.ts
@@ -10,21 +10,21 @@
 import {HollowstackError} from '@hollowstack/errors';
 
 /** A place in a pool; to be released once the attempt is over. */
-export interface Place {
+export interface PoolSlot {
   /** Milliseconds that the work waited for it. */
   readonly waitedMs: number;
   release(): void;
 }
 
 /** Work that asks for a place. */
-export interface PlaceRequest extends WaitingWork {
+export interface SlotRequest extends WaitingWork {
   /** Milliseconds since the epoch after which beginning makes no sense. */
   readonly latestStartMs: number;
 }
 
-interface Waiter extends PlaceRequest {
+interface Waiter extends SlotRequest {
   readonly askedAtMs: number;
-  readonly grant: (place: Place) => void;
+  readonly grant: (place: PoolSlot) => void;
   readonly reject: (error: HollowstackError) => void;
   timer: Timer | undefined;
 }
@@ -35,7 +35,7 @@
 const MAX_WAITING = 2000;
 
 /** Gives out the places that this instance has in one pool. */
-export class PlaceQueue implements InServiceCount {
+export class PoolSlotQueue implements InServiceCount {
   private readonly clock: Clock;
   private readonly limit: AdaptiveLimit;
   private readonly isAdaptive: boolean;
@@ -86,7 +86,7 @@
    * @throws HollowstackError `overloaded` where too many wait, or
    *   `deadline-unreachable` once the latest start has passed.
    */
-  acquirePlace(request: PlaceRequest, signal: AbortSignal): Promise<Place> {
+  acquireSlot(request: SlotRequest, signal: AbortSignal): Promise<PoolSlot> {
     if (signal.aborted) return Promise.reject(signal.reason);
     if (this.waiting.length >= MAX_WAITING) {
       return Promise.reject(
@@ -193,9 +193,9 @@
     if (nowMs - this.sampledAtMs < SAMPLE_INTERVAL_MS) return;
     this.sampledAtMs = nowMs;
     this.limit.applySample({
-      wasFull: this.wasFull,
+      hadWaitingWork: this.wasFull,
       wasRefused: this.wasRefused,
-      reportedQueue: this.reportedQueue,
+      queuedPerSlot: this.reportedQueue,
     });
     this.wasFull = false;
     this.wasRefused = false;
--- a/packages/pipeline/src/service-runner.ts
+++ b/packages/pipeline/src/service-runner.ts
@@ -56,7 +56,7 @@
         stage: 'service',
         call,
         isRepeatable: request.isRepeatable,
-        laterMs: 0,
+        laterStagesMs: 0,
       },
       context,
     );
@@ -90,7 +90,7 @@
     this.answer = {status, headers, body};
   }
 
-  getWork(): number {
+  getRemainingUnits(): number {
     return 1;
   }
 
--- a/packages/pipeline/src/stage-call.ts
+++ b/packages/pipeline/src/stage-call.ts
@@ -10,7 +10,7 @@
   abstract readResponse(response: HttpResponse): Promise<void>;
 
   /** Returns the size of the work that is left, in units of one expected request. */
-  abstract getWork(): number;
+  abstract getRemainingUnits(): number;
 
   /** Returns the model that the upstream must hold; undefined for any. */
   getModel(): string | undefined {
--- a/packages/pipeline/src/stage-calls.ts
+++ b/packages/pipeline/src/stage-calls.ts
@@ -26,7 +26,7 @@
  */
 const CHARACTERS_PER_WORK = 2000;
 /** Tokens that the expected duration of a generate pool is given for. */
-export const TOKENS_PER_WORK = 64;
+export const TOKENS_PER_WORK_UNIT = 64;
 const END_MARKER = '[DONE]';
 
 const embeddingsSchema = z.object({
@@ -78,7 +78,7 @@
     this.state.embedding = answer.data[0].embedding;
   }
 
-  getWork(): number {
+  getRemainingUnits(): number {
     return 1 + this.state.input.length / CHARACTERS_PER_WORK;
   }
 }
@@ -103,7 +103,7 @@
     this.state.documents = answer.documents;
   }
 
-  getWork(): number {
+  getRemainingUnits(): number {
     return 1;
   }
 }
@@ -137,7 +137,7 @@
     this.state.documents = ranked.filter(document => document !== undefined);
   }
 
-  getWork(): number {
+  getRemainingUnits(): number {
     return 1 + this.state.input.length / CHARACTERS_PER_WORK;
   }
 }
@@ -183,8 +183,8 @@
     throw new AttemptError('broken', 'the stream ended without its end marker');
   }
 
-  getWork(): number {
-    return this.countMissing() / TOKENS_PER_WORK;
+  getRemainingUnits(): number {
+    return this.countMissing() / TOKENS_PER_WORK_UNIT;
   }
 
   override getModel(): string {
--- a/packages/pipeline/src/upstream-group.ts
+++ b/packages/pipeline/src/upstream-group.ts
@@ -3,16 +3,16 @@
 import type {EventLogger} from '@hollowstack/logger';
 import {
   computeOccupancy,
-  getStartFactor,
+  getSlowStartFactor,
   isCandidate,
   predictDurationMs,
   recordBackOff,
   recordDispatch,
   recordSlowness,
-  recordEnd,
+  recordCompletion,
   recordFailure,
   recordLeaving,
-  recordLive,
+  recordLiveReport,
   recordSuccess,
   recordTrial,
   type Candidate,
@@ -24,10 +24,10 @@
 import type {
   GroupPolicy,
   GroupSettings,
-  PlacedWork,
+  RoutableWork,
   UpstreamStatus,
 } from './group-settings.ts';
-import {PlaceQueue} from './place-queue.ts';
+import {PoolSlotQueue} from './pool-slot-queue.ts';
 import {
   createTrackedUpstream,
   hasModel,
@@ -46,7 +46,7 @@
 
 /** The upstreams of one pool or service with all that this instance knows of them. */
 export class UpstreamGroup {
-  readonly places: PlaceQueue;
+  readonly slotQueue: PoolSlotQueue;
   readonly retryBudget = new RetryBudget();
   readonly durations: DurationEstimator;
   private readonly clock: Clock;
@@ -67,7 +67,7 @@
     this.durations = new DurationEstimator(clock);
     this.logger = logger;
     this.policy = policy.healthPolicy;
-    this.places = new PlaceQueue(
+    this.slotQueue = new PoolSlotQueue(
       clock,
       createBounds(settings, instanceCount),
       policy.adaptLimits,
@@ -87,7 +87,7 @@
       if (!wanted.has(id)) this.tracked.delete(id);
     }
     for (const upstream of settings.upstreams) this.addUpstream(upstream);
-    this.places.setBounds(createBounds(settings, instanceCount));
+    this.slotQueue.setBounds(createBounds(settings, instanceCount));
   }
 
   getUpstream(id: string): Upstream | undefined {
@@ -114,7 +114,10 @@
    * @param work The work to be placed.
    * @param excluded Ids that were tried before; they count again where no other is left.
    */
-  listCandidates(work: PlacedWork, excluded: ReadonlySet<string>): Candidate[] {
+  listCandidates(
+    work: RoutableWork,
+    excluded: ReadonlySet<string>,
+  ): Candidate[] {
     const nowMs = this.clock.getNow();
     const able = [...this.tracked.values()].filter(
       ({health, models}) =>
@@ -130,14 +133,14 @@
   }
 
   /** Predicts the shortest time for a piece of work; undefined where no upstream is left. */
-  predictBestMs(work: PlacedWork): number | undefined {
+  predictBestMs(work: RoutableWork): number | undefined {
     const candidates = this.listCandidates(work, new Set());
     if (candidates.length === 0) return undefined;
     return Math.min(...candidates.map(({predictedMs}) => predictedMs));
   }
 
   /** Predicts the time for a piece of work at an upstream without other load. */
-  predictEmptyMs(work: PlacedWork): number {
+  predictUnloadedMs(work: RoutableWork): number {
     const defaultMs = this.settings.expectedMs * work.units;
     return this.durations.getMeanMs(getEmptyKey(work), defaultMs);
   }
@@ -164,21 +167,21 @@
    */
   recordSuccess(
     id: string,
-    work: PlacedWork,
+    work: RoutableWork,
     durationMs: number,
     occupancy: number,
   ): void {
     const emptyMs = durationMs / (1 + occupancy);
-    const slowness = emptyMs / Math.max(1, this.predictEmptyMs(work));
+    const slowness = emptyMs / Math.max(1, this.predictUnloadedMs(work));
     this.durations.recordMs(getEmptyKey(work), emptyMs);
     this.applyChange(id, tracked => {
-      tracked.load = recordSlowness(recordEnd(tracked.load), slowness);
+      tracked.load = recordSlowness(recordCompletion(tracked.load), slowness);
       tracked.health = recordSuccess(tracked.health, this.clock.getNow());
     });
   }
 
   /** A byte of any answer came from an upstream. */
-  recordByte(id: string): void {
+  recordChunk(id: string): void {
     const tracked = this.tracked.get(id);
     if (tracked) tracked.lastByteAtMs = this.clock.getNow();
   }
@@ -187,7 +190,7 @@
    * Returns when an upstream last gave a sign of being at work: a byte of any
    * answer, or a fresh report that it works and has more work waiting.
    */
-  getLastSignAtMs(id: string): number {
+  getLastActivityAtMs(id: string): number {
     const tracked = this.tracked.get(id);
     if (!tracked) return 0;
     const isBusy =
@@ -206,7 +209,7 @@
   /** Work failed at an upstream. */
   recordFailure(id: string, kind: FailureKind): void {
     this.applyChange(id, tracked => {
-      tracked.load = recordEnd(tracked.load);
+      tracked.load = recordCompletion(tracked.load);
       tracked.health = recordFailure(
         tracked.health,
         kind,
@@ -223,12 +226,12 @@
    */
   recordUnfinished(
     id: string,
-    work: PlacedWork,
+    work: RoutableWork,
     elapsedMs: number,
     occupancy: number,
   ): void {
     const slowness =
-      elapsedMs / (1 + occupancy) / Math.max(1, this.predictEmptyMs(work));
+      elapsedMs / (1 + occupancy) / Math.max(1, this.predictUnloadedMs(work));
     this.applyChange(id, tracked => {
       if (slowness <= tracked.load.slowness) return;
       tracked.load = recordSlowness(tracked.load, slowness);
@@ -236,9 +239,9 @@
   }
 
   /** Work was stopped by this side, which says nothing of the upstream. */
-  recordGivenUp(id: string): void {
+  recordCancelled(id: string): void {
     this.applyChange(id, tracked => {
-      tracked.load = recordEnd(tracked.load);
+      tracked.load = recordCompletion(tracked.load);
       // A trial that was stopped has shown nothing: the next work is one again.
       if (tracked.health.state === 'trial') {
         tracked.health = {...tracked.health, state: 'out'};
@@ -253,14 +256,14 @@
    */
   recordNotRun(id: string, forMs: number): void {
     this.applyChange(id, tracked => {
-      tracked.load = recordEnd(tracked.load);
+      tracked.load = recordCompletion(tracked.load);
       const nowMs = this.clock.getNow();
       tracked.health = recordBackOff(tracked.health, forMs, nowMs);
     });
   }
 
   /** The platform's list says whether an upstream is leaving. */
-  recordListed(id: string, isLeaving: boolean): void {
+  recordListedState(id: string, isLeaving: boolean): void {
     this.applyChange(id, tracked => {
       tracked.isListedLeaving = isLeaving;
       if (!isLeaving) return;
@@ -282,9 +285,9 @@
       const reportAtMs = report.atMs ?? nowMs - ASSUMED_LAG_MS;
       tracked.health = isLeaving
         ? recordLeaving(tracked.health, nowMs)
-        : recordLive(tracked.health, this.policy, reportAtMs, nowMs);
+        : recordLiveReport(tracked.health, this.policy, reportAtMs, nowMs);
     });
-    this.places.recordReportedQueue(this.getReportedQueue());
+    this.slotQueue.recordReportedQueue(this.getReportedQueue());
   }
 
   /** Cache events arrived. */
@@ -317,14 +320,14 @@
 
   private predictMs(
     tracked: TrackedUpstream,
-    work: PlacedWork,
+    work: RoutableWork,
     nowMs: number,
   ): number {
     const {load, health, cache} = tracked;
     const {slots} = this.settings;
-    const emptyMs = this.predictEmptyMs(work);
+    const emptyMs = this.predictUnloadedMs(work);
     const loadedMs = predictDurationMs(load, emptyMs, slots);
-    const startFactor = getStartFactor(health, this.policy, nowMs);
+    const startFactor = getSlowStartFactor(health, this.policy, nowMs);
     const {prompt} = work;
     if (prompt === undefined || prompt.length === 0) {
       return loadedMs / startFactor;
@@ -375,6 +378,6 @@
   };
 }
 
-function getEmptyKey({classKey}: PlacedWork): string {
+function getEmptyKey({classKey}: RoutableWork): string {
   return `${classKey}/empty`;
 }
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -6,10 +6,14 @@
   type PlacementTarget,
   type PlannedOrder,
 } from './placement-plan.ts';
-export {HolderLease, HOLDER_KEY, type HeldLease} from './holder-lease.ts';
 export {
-  PlacementKeeper,
-  type PlacementKeeperParts,
+  PlacementLease,
+  PLACEMENT_HOLDER_KEY,
+  type HeldLease,
+} from './placement-lease.ts';
+export {
+  PlacementController,
+  type PlacementControllerParts,
   type ManagedEngine,
   type ManagedPool,
-} from './placement-keeper.ts';
+} from './placement-controller.ts';
--- a/packages/placement/src/placement-controller.ts
+++ b/packages/placement/src/placement-controller.ts
@@ -5,7 +5,7 @@
 } from '@hollowstack/clock';
 import type {EventLogger} from '@hollowstack/logger';
 import {readBody, sendJson, type HttpClient} from '@hollowstack/transport';
-import type {HeldLease, HolderLease} from './holder-lease.ts';
+import type {HeldLease, PlacementLease} from './placement-lease.ts';
 import {
   assemblePlacementPlan,
   type EngineState,
@@ -31,8 +31,8 @@
 }
 
 /** What the keeper works with. */
-export interface PlacementKeeperParts {
-  readonly lease: HolderLease;
+export interface PlacementControllerParts {
+  readonly lease: PlacementLease;
   readonly client: HttpClient;
   readonly clock: Clock;
   readonly random: () => number;
@@ -56,12 +56,12 @@
  * all of it fits into the lease; to engines that do not check fences only
  * after a renewal that was confirmed since the plan was read.
  */
-export class PlacementKeeper {
-  private readonly parts: PlacementKeeperParts;
+export class PlacementController {
+  private readonly parts: PlacementControllerParts;
   private readonly task: RepeatingTask;
   private wasHolder = false;
 
-  constructor(parts: PlacementKeeperParts) {
+  constructor(parts: PlacementControllerParts) {
     this.parts = parts;
     this.task = new RepeatingTask(parts.clock, parts.random, async () => {
       await this.runRound().catch(() => {});
@@ -114,7 +114,7 @@
     readAtMs: number,
   ): Promise<HeldLease | undefined> {
     const {lease, clock} = this.parts;
-    let held = lease.getHeld();
+    let held = lease.getValidLease();
     const isConfirmed = held !== undefined && held.renewedAtMs > readAtMs;
     if (!engine.checksFence && !isConfirmed) held = await lease.renew();
     if (!held) return undefined;
--- a/packages/placement/src/placement-lease.ts
+++ b/packages/placement/src/placement-lease.ts
@@ -2,7 +2,7 @@
 import {createSingleKeyRange, type KeyValueStore} from '@hollowstack/store';
 
 /** Key of the one instance that sends orders. */
-export const HOLDER_KEY = 'hollowstack/placement/holder';
+export const PLACEMENT_HOLDER_KEY = 'hollowstack/placement/holder';
 
 /** A lease as its holder may rely on it. */
 export interface HeldLease {
@@ -24,7 +24,7 @@
  * before the renewal was sent: the service counts from when it got it, which
  * is later, so the holder always stops first.
  */
-export class HolderLease {
+export class PlacementLease {
   private readonly store: KeyValueStore;
   private readonly clock: Clock;
   private readonly instance: string;
@@ -38,7 +38,7 @@
   }
 
   /** Returns the lease if it is still valid. */
-  getHeld(): HeldLease | undefined {
+  getValidLease(): HeldLease | undefined {
     const isValid = this.held && this.clock.getNow() < this.held.validUntilMs;
     return isValid ? this.held : undefined;
   }
@@ -50,7 +50,7 @@
       const isAlive = await this.store.renewLease(this.leaseId);
       if (isAlive) {
         this.held = createHeld(this.held.fence, sentAtMs);
-        return this.getHeld();
+        return this.getValidLease();
       }
       this.held = undefined;
       this.leaseId = undefined;
@@ -69,17 +69,17 @@
   }
 
   private async acquire(): Promise<HeldLease | undefined> {
-    const range = createSingleKeyRange(HOLDER_KEY);
+    const range = createSingleKeyRange(PLACEMENT_HOLDER_KEY);
     const found = await this.store.readRange(range);
     if (found.keyValues.length > 0) return undefined;
     const sentAtMs = this.clock.getNow();
     const lease = await this.store.grantLease(LEASE_MS);
     const result = await this.store.runTransaction({
-      comparisons: [{key: HOLDER_KEY, modRevision: 0}],
+      comparisons: [{key: PLACEMENT_HOLDER_KEY, modRevision: 0}],
       onSuccess: [
         {
           type: 'put',
-          key: HOLDER_KEY,
+          key: PLACEMENT_HOLDER_KEY,
           value: this.instance,
           leaseId: lease.id,
         },
@@ -92,7 +92,7 @@
     this.leaseId = lease.id;
     // The store's revision rises with every write, so each holder's is higher.
     this.held = createHeld(result.storeRevision, sentAtMs);
-    return this.getHeld();
+    return this.getValidLease();
   }
 }
 
--- a/packages/quarantine/src/crash-detector.test.ts
+++ b/packages/quarantine/src/crash-detector.test.ts
@@ -91,8 +91,8 @@
 test('a connection that another request finds refused is evidence as well', () => {
   const {detector, crashed, recordBroken} = createDetector();
   recordBroken('f1');
-  detector.recordRefused('u2');
+  detector.recordRefusedConnection('u2');
   assert.deepEqual(crashed, []);
-  detector.recordRefused('u1');
+  detector.recordRefusedConnection('u1');
   assert.deepEqual(crashed, ['f1 u1']);
 });
--- a/packages/quarantine/src/crash-detector.ts
+++ b/packages/quarantine/src/crash-detector.ts
@@ -83,7 +83,7 @@
   }
 
   /** Notes that an upstream refused a connection: nobody listens there. */
-  recordRefused(upstreamId: string): void {
+  recordRefusedConnection(upstreamId: string): void {
     this.settleCrash(upstreamId, 'connection-refused');
   }
 
@@ -115,7 +115,7 @@
     );
     if (!isPending) return;
     const result = await this.parts.checkAddress(upstream.address);
-    if (result === 'refused') this.recordRefused(upstream.id);
+    if (result === 'refused') this.recordRefusedConnection(upstream.id);
   }
 
   private settleCrash(upstreamId: string, evidence: CrashEvidence): void {
--- a/packages/quarantine/src/index.ts
+++ b/packages/quarantine/src/index.ts
@@ -12,7 +12,10 @@
   type CrashDetectorParts,
 } from './crash-detector.ts';
 export {IsolatedAttempts} from './isolation.ts';
-export {VerdictKeeper, type VerdictKeeperParts} from './verdict-keeper.ts';
+export {
+  VerdictPersister,
+  type VerdictPersisterParts,
+} from './verdict-persister.ts';
 export {
   RequestQuarantine,
   type QuarantineSubject,
--- a/packages/quarantine/src/request-quarantine.ts
+++ b/packages/quarantine/src/request-quarantine.ts
@@ -88,7 +88,7 @@
   }
 
   /** Notes that an upstream refused a connection. */
-  recordRefused(upstreamId: string): void {
-    this.parts.detector.recordRefused(upstreamId);
+  recordRefusedConnection(upstreamId: string): void {
+    this.parts.detector.recordRefusedConnection(upstreamId);
   }
 }
--- a/packages/quarantine/src/suspect-table.test.ts
+++ b/packages/quarantine/src/suspect-table.test.ts
@@ -27,7 +27,7 @@
   const logger = new ListingLogger();
   const table = new SuspectTable({clock, logger});
   const news = {count: 0};
-  table.addNewsListener(() => (news.count += 1));
+  table.addChangeListener(() => (news.count += 1));
   const crash = (request: SuspectRequest, upstream: string, sentAtMs: number) =>
     table.recordCrash(request, {
       upstream,
--- a/packages/quarantine/src/suspect-table.ts
+++ b/packages/quarantine/src/suspect-table.ts
@@ -4,9 +4,9 @@
 import {
   QUARANTINE_CRASHES,
   countSequentialCrashes,
-  isNews,
+  hasChanged,
   isSuspected,
-  joinSuspects,
+  mergeSuspects,
   recordServed,
   type Suspect,
   type UpstreamCrash,
@@ -83,7 +83,7 @@
   }
 
   /** Adds a function that is called when peers should be told. */
-  addNewsListener(listener: () => void): void {
+  addChangeListener(listener: () => void): void {
     this.newsListeners.push(listener);
   }
 
@@ -147,7 +147,7 @@
 
   private joinSuspect(told: Suspect, source = 'own'): void {
     const known = this.suspects.get(told.fingerprint);
-    const joined = known ? joinSuspects(known, told) : told;
+    const joined = known ? mergeSuspects(known, told) : told;
     const suspect = this.judgeSuspect(joined);
     this.suspects.set(suspect.fingerprint, suspect);
     this.applyBound();
@@ -157,7 +157,7 @@
     } else if (wasQuarantined && !suspect.isQuarantined) {
       this.logSuspect('request.cleared', suspect, source);
     }
-    if (isNews(known, suspect)) this.callNewsListeners();
+    if (hasChanged(known, suspect)) this.callNewsListeners();
   }
 
   private judgeSuspect(suspect: Suspect): Suspect {
--- a/packages/quarantine/src/suspect.test.ts
+++ b/packages/quarantine/src/suspect.test.ts
@@ -3,8 +3,8 @@
 import {test} from 'node:test';
 import {
   countSequentialCrashes,
-  isNews,
-  joinSuspects,
+  hasChanged,
+  mergeSuspects,
   recordServed,
   type Suspect,
   type UpstreamCrash,
@@ -69,14 +69,14 @@
 test('an answer refutes what is known, and a peer that does not know it cannot bring it back', () => {
   const known = createSuspect([createCrash('u1', 0, 100)], true);
   const served = recordServed(known, 500);
-  const joined = joinSuspects(served, known);
+  const joined = mergeSuspects(served, known);
   assert.equal(joined.isQuarantined, false);
-  assert.equal(isNews(served, joined), false);
-  const later = joinSuspects(
+  assert.equal(hasChanged(served, joined), false);
+  const later = mergeSuspects(
     joined,
     createSuspect([createCrash('u2', 600, 700)]),
   );
-  assert.equal(isNews(joined, later), true);
+  assert.equal(hasChanged(joined, later), true);
   assert.equal(countSequentialCrashes(later.crashes, NONE), 1);
 });
 
@@ -84,7 +84,7 @@
   const old = Array.from({length: 6}, (_, index) =>
     createCrash(`old-${index}`, index, index, true),
   );
-  const joined = joinSuspects(
+  const joined = mergeSuspects(
     createSuspect(old),
     createSuspect([
       createCrash('u1', 100, 200),
@@ -114,12 +114,12 @@
 test('instances that hear the same in another order, or twice, come to the same', () => {
   fc.assert(
     fc.property(suspectArbitrary, suspectArbitrary, (left, right) => {
-      const one = joinSuspects(left, right);
-      const other = joinSuspects(right, left);
-      const again = joinSuspects(one, right);
+      const one = mergeSuspects(left, right);
+      const other = mergeSuspects(right, left);
+      const again = mergeSuspects(one, right);
       const isRefuted = one.crashes.every(crash => crash.isRefuted);
       assert.equal(renderVerdict(other), renderVerdict(one));
-      assert.equal(isNews(one, again), false);
+      assert.equal(hasChanged(one, again), false);
       assert.ok(!isRefuted || !one.isQuarantined);
     }),
   );
--- a/packages/quarantine/src/suspect.ts
+++ b/packages/quarantine/src/suspect.ts
@@ -76,7 +76,7 @@
  * Joins what two instances know of a request. A crash that one of them knows to be refuted
  * stays so, which makes the order of messages irrelevant.
  */
-export function joinSuspects(known: Suspect, told: Suspect): Suspect {
+export function mergeSuspects(known: Suspect, told: Suspect): Suspect {
   const crashes = joinCrashes(known.crashes, told.crashes);
   const isQuarantined =
     (known.isQuarantined || told.isQuarantined) &&
@@ -85,12 +85,17 @@
   return {
     ...joined,
     seenAtMs: Math.max(known.seenAtMs, told.seenAtMs),
-    changedAtMs: isNews(known, joined) ? told.changedAtMs : known.changedAtMs,
+    changedAtMs: hasChanged(known, joined)
+      ? told.changedAtMs
+      : known.changedAtMs,
   };
 }
 
 /** Returns whether there is anything about a request that was not known. */
-export function isNews(known: Suspect | undefined, suspect: Suspect): boolean {
+export function hasChanged(
+  known: Suspect | undefined,
+  suspect: Suspect,
+): boolean {
   return (
     known?.isQuarantined !== suspect.isQuarantined ||
     known.crashes !== suspect.crashes
--- a/packages/quarantine/src/verdict-persister.test.ts
+++ b/packages/quarantine/src/verdict-persister.test.ts
@@ -9,7 +9,7 @@
 } from '@hollowstack/store';
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {SuspectTable, VerdictKeeper} from './index.ts';
+import {SuspectTable, VerdictPersister} from './index.ts';
 
 /** The keys of a store that may be away. */
 class KeyStore {
@@ -58,7 +58,7 @@
   const logger = new SilentEventLogger();
   const table = new SuspectTable({clock, logger});
   const role = {isCoordinator: isFirst};
-  const keeper = new VerdictKeeper({
+  const keeper = new VerdictPersister({
     clock,
     logger,
     table,
--- a/packages/quarantine/src/verdict-persister.ts
+++ b/packages/quarantine/src/verdict-persister.ts
@@ -13,7 +13,7 @@
 } from './verdict-plan.ts';
 
 /** Dependencies of VerdictKeeper. */
-export interface VerdictKeeperParts {
+export interface VerdictPersisterParts {
   readonly clock: Clock;
   readonly logger: EventLogger;
   /** Returns numbers from 0 to below 1. */
@@ -34,8 +34,8 @@
  * Keeps verdicts in the store, so that they outlive the loss of all instances. Only the
  * coordinator reads and writes them; the others hear of them from their peers.
  */
-export class VerdictKeeper {
-  private readonly parts: VerdictKeeperParts;
+export class VerdictPersister {
+  private readonly parts: VerdictPersisterParts;
   private readonly task: RepeatingTask;
   /** When each verdict was written or read; undefined while another instance writes. */
   private written: Map<string, number> | undefined;
@@ -43,7 +43,7 @@
   private historyId = '';
   private hasFailed = false;
 
-  constructor(parts: VerdictKeeperParts) {
+  constructor(parts: VerdictPersisterParts) {
     this.parts = parts;
     this.task = new RepeatingTask(parts.clock, parts.random, async () => {
       await this.refreshVerdicts();
--- a/packages/result-checkpoint/src/checkpoint-writer.ts
+++ b/packages/result-checkpoint/src/checkpoint-writer.ts
@@ -14,7 +14,7 @@
   /** This life of this instance. */
   readonly self: ResultOwner;
   /** Lists the results that this instance holds as a coordinator, the oldest first. */
-  readonly listHeld: () => readonly OwnedResult[];
+  readonly listStoredResults: () => readonly OwnedResult[];
 }
 
 /**
@@ -50,8 +50,8 @@
   }
 
   private async writeChanges(): Promise<void> {
-    const {store, self, listHeld, logger} = this.parts;
-    const text = encodeCheckpoint(listHeld());
+    const {store, self, listStoredResults, logger} = this.parts;
+    const text = encodeCheckpoint(listStoredResults());
     const historyId = store.getHistoryId();
     if (text === this.written && historyId === this.historyId) return;
     try {
--- a/packages/result-checkpoint/src/orphan-releaser.ts
+++ b/packages/result-checkpoint/src/orphan-releaser.ts
@@ -11,7 +11,7 @@
   decodeCheckpoint,
   getCheckpointKey,
 } from './checkpoint.ts';
-import {assembleOrphanPlan} from './orphans.ts';
+import {assembleOrphanPlan} from './orphan-plan.ts';
 
 /** Dependencies of OrphanReleaser. */
 export interface OrphanReleaserParts {
--- a/packages/result-checkpoint/src/result-checkpoint.test.ts
+++ b/packages/result-checkpoint/src/result-checkpoint.test.ts
@@ -24,7 +24,7 @@
   encodeCheckpoint,
 } from './checkpoint.ts';
 import {CheckpointWriter, OrphanReleaser} from './index.ts';
-import {assembleOrphanPlan} from './orphans.ts';
+import {assembleOrphanPlan} from './orphan-plan.ts';
 
 class ListingLogger extends EventLogger {
   readonly lines: Array<[EventName, EventFields]> = [];
@@ -98,7 +98,10 @@
     random: getMiddle,
     self: {instance: 'c', startedAtMs},
   };
-  const writer = new CheckpointWriter({...parts, listHeld: () => held});
+  const writer = new CheckpointWriter({
+    ...parts,
+    listStoredResults: () => held,
+  });
   const releaser = new OrphanReleaser({
     ...parts,
     isCoordinator: () => true,
--- a/packages/routes/src/index.ts
+++ b/packages/routes/src/index.ts
@@ -24,9 +24,9 @@
 } from './routed-configuration.ts';
 export {RouteTable, chooseTarget, isRepeatable} from './route-table.ts';
 export {
-  findShortage,
+  findUnavailability,
   getColdUntilMs,
-  isTakingWork,
-  type Shortage,
+  isAcceptingWork,
+  type Unavailability,
 } from './upstream-state.ts';
 export {computeRequestPriority} from './request-priority.ts';
--- a/packages/routes/src/upstream-state.test.ts
+++ b/packages/routes/src/upstream-state.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {findShortage, type RegisteredUpstream} from './index.ts';
+import {findUnavailability, type RegisteredUpstream} from './index.ts';
 
 function createUpstream(
   id: string,
@@ -28,7 +28,7 @@
     createUpstream('c'),
   ];
   const getWaitMs = (id: string) => (id === 'c' ? 0 : 2000);
-  assert.equal(findShortage('chat', upstreams, getWaitMs), undefined);
+  assert.equal(findUnavailability('chat', upstreams, getWaitMs), undefined);
 });
 
 test('upstreams that all want no work are short until the first takes some again', () => {
@@ -38,7 +38,7 @@
     createUpstream('c', {isLeaving: true}),
   ];
   const getWaitMs = (id: string) => (id === 'a' ? 2500 : 1200);
-  assert.deepEqual(findShortage('chat', upstreams, getWaitMs), {
+  assert.deepEqual(findUnavailability('chat', upstreams, getWaitMs), {
     reason:
       'all 2 upstreams of chat that take work have asked for none, the first for another 1.2 s',
     waitMs: 1200,
@@ -50,7 +50,7 @@
   const leaving = createUpstream('a', {isLeaving: true});
   const evacuated = createUpstream('b', {isEvacuated: true});
   const listReasons = (upstreams: RegisteredUpstream[]) => {
-    const shortage = findShortage('chat', upstreams, getNoWait);
+    const shortage = findUnavailability('chat', upstreams, getNoWait);
     assert.equal(shortage?.waitMs, undefined);
     assert.ok(shortage!.retryAfterMs > 0);
     return shortage!.reason;
--- a/packages/routes/src/upstream-state.ts
+++ b/packages/routes/src/upstream-state.ts
@@ -1,7 +1,7 @@
 import type {RegisteredUpstream, WarmUp} from './routed-configuration.ts';
 
 /** Returns whether new work may go to an upstream, as far as registrations say. */
-export function isTakingWork({
+export function isAcceptingWork({
   isLeaving,
   isEvacuated = false,
 }: RegisteredUpstream): boolean {
@@ -30,7 +30,7 @@
 const SHORTAGE_RETRY_MS = 1000;
 
 /** Why no upstream of a service takes work now. */
-export interface Shortage {
+export interface Unavailability {
   readonly reason: string;
   /**
    * Milliseconds until the first of them takes work again, where all asked for a time
@@ -47,12 +47,12 @@
  * @param getWaitMs Returns milliseconds for which an upstream still wants no work, 0
  * where it asked for none.
  */
-export function findShortage(
+export function findUnavailability(
   service: string,
   upstreams: readonly RegisteredUpstream[],
   getWaitMs: (id: string) => number,
-): Shortage | undefined {
-  const waits = upstreams.filter(isTakingWork).map(({id}) => getWaitMs(id));
+): Unavailability | undefined {
+  const waits = upstreams.filter(isAcceptingWork).map(({id}) => getWaitMs(id));
   if (waits.length === 0) {
     return {
       reason: formatAbsence(service, upstreams),
--- a/packages/routing/src/health.test.ts
+++ b/packages/routing/src/health.test.ts
@@ -4,11 +4,11 @@
 import {
   DEFAULT_HEALTH_POLICY,
   createHealthyState,
-  getStartFactor,
+  getSlowStartFactor,
   isCandidate,
   recordFailure,
   recordLeaving,
-  recordLive,
+  recordLiveReport,
   recordSuccess,
   recordTrial,
   type HealthState,
@@ -40,8 +40,11 @@
 
 test('an answered report does not bring an upstream back, one successful trial does', () => {
   const out = createOut();
-  assert.equal(recordLive(out, POLICY, AT_MS + 1, AT_MS + 1).state, 'out');
-  const trialAtMs = AT_MS + POLICY.trialAfterMs;
+  assert.equal(
+    recordLiveReport(out, POLICY, AT_MS + 1, AT_MS + 1).state,
+    'out',
+  );
+  const trialAtMs = AT_MS + POLICY.trialDelayMs;
   assert.equal(isCandidate(out, trialAtMs), true);
   const trial = recordTrial(out);
   assert.equal(isCandidate(trial, trialAtMs), false);
@@ -50,10 +53,10 @@
 
 test('each failed trial doubles the wait up to its bound', t => {
   let health = createOut();
-  const waits = [health.trialAtMs - AT_MS];
+  const waits = [health.nextTrialAtMs - AT_MS];
   for (let count = 0; count < 7; count++) {
     health = recordFailure(recordTrial(health), 'broken', POLICY, AT_MS);
-    waits.push(health.trialAtMs - AT_MS);
+    waits.push(health.nextTrialAtMs - AT_MS);
   }
   t.assert.snapshot(waits);
 });
@@ -61,16 +64,16 @@
 test('a leaving upstream comes back only by a report fresher than its leaving', () => {
   const leaving = recordLeaving(createHealthyState(), AT_MS);
   assert.equal(isCandidate(leaving, AT_MS + 60_000), false);
-  const lagging = recordLive(leaving, POLICY, AT_MS - 2000, AT_MS + 100);
+  const lagging = recordLiveReport(leaving, POLICY, AT_MS - 2000, AT_MS + 100);
   assert.equal(lagging.state, 'leaving');
-  const fresh = recordLive(leaving, POLICY, AT_MS + 2000, AT_MS + 2000);
+  const fresh = recordLiveReport(leaving, POLICY, AT_MS + 2000, AT_MS + 2000);
   assert.equal(isCandidate(fresh, AT_MS + 2000), true);
 });
 
 test('an upstream that came back gets its full work by degrees', () => {
   const back = recordSuccess(recordTrial(createOut()), AT_MS);
   const factors = [0, 0.5, 1, 2].map(part =>
-    getStartFactor(back, POLICY, AT_MS + part * POLICY.slowStartMs),
+    getSlowStartFactor(back, POLICY, AT_MS + part * POLICY.slowStartMs),
   );
   assert.deepEqual(factors, [0.2, 0.6000000000000001, 1, 1]);
 });
@@ -87,7 +90,8 @@
       let nowMs = AT_MS;
       for (const step of sequence) {
         nowMs += 1000;
-        if (step === 'live') health = recordLive(health, POLICY, nowMs, nowMs);
+        if (step === 'live')
+          health = recordLiveReport(health, POLICY, nowMs, nowMs);
         if (step === 'leave') health = recordLeaving(health, nowMs);
         if (step === 'fail') {
           health = recordFailure(health, 'broken', POLICY, nowMs);
--- a/packages/routing/src/health.ts
+++ b/packages/routing/src/health.ts
@@ -2,13 +2,13 @@
 export interface HealthState {
   readonly state: 'healthy' | 'out' | 'trial' | 'leaving';
   /** Failures in a row of real work; only a success of real work clears it. */
-  readonly failureStreak: number;
+  readonly consecutiveFailures: number;
   /** How often it was taken out since its last success. */
-  readonly outCount: number;
+  readonly ejectionCount: number;
   /** Milliseconds since the epoch; when a trial may be made. */
-  readonly trialAtMs: number;
+  readonly nextTrialAtMs: number;
   /** When it last came back, for the slow start; 0 for never. */
-  readonly backAtMs: number;
+  readonly recoveredAtMs: number;
   /** When it was last said to be leaving. */
   readonly leavingAtMs: number;
   /** Until when it has asked for no work; 0 where it has not. */
@@ -18,10 +18,10 @@
 /** Thresholds and times of the health decisions. */
 export interface HealthPolicy {
   /** Failures in a row after which an upstream is taken out. */
-  readonly failuresToOut: number;
+  readonly failuresToEject: number;
   /** Milliseconds before the first trial; doubled with each failed one. */
-  readonly trialAfterMs: number;
-  readonly maxTrialAfterMs: number;
+  readonly trialDelayMs: number;
+  readonly maxTrialDelayMs: number;
   /** Milliseconds over which an upstream that came back gets its full share. */
   readonly slowStartMs: number;
   /** Whether an answered load report brings an upstream back; a baseline. */
@@ -30,9 +30,9 @@
 
 /** The policy that the daemon uses. */
 export const DEFAULT_HEALTH_POLICY: HealthPolicy = {
-  failuresToOut: 3,
-  trialAfterMs: 1000,
-  maxTrialAfterMs: 30_000,
+  failuresToEject: 3,
+  trialDelayMs: 1000,
+  maxTrialDelayMs: 30_000,
   slowStartMs: 5000,
   reportRestores: false,
 };
@@ -47,10 +47,10 @@
 export function createHealthyState(): HealthState {
   return {
     state: 'healthy',
-    failureStreak: 0,
-    outCount: 0,
-    trialAtMs: 0,
-    backAtMs: 0,
+    consecutiveFailures: 0,
+    ejectionCount: 0,
+    nextTrialAtMs: 0,
+    recoveredAtMs: 0,
     leavingAtMs: 0,
     backOffUntilMs: 0,
   };
@@ -59,7 +59,7 @@
 /** Returns whether new work may go to the upstream now. */
 export function isCandidate(health: HealthState, nowMs: number): boolean {
   if (health.state === 'healthy') return true;
-  return health.state === 'out' && nowMs >= health.trialAtMs;
+  return health.state === 'out' && nowMs >= health.nextTrialAtMs;
 }
 
 /** Work that goes to an upstream which is out is its trial: one at a time. */
@@ -70,11 +70,11 @@
 
 /** Real work succeeded. A leaving upstream that finishes its work stays leaving. */
 export function recordSuccess(health: HealthState, nowMs: number): HealthState {
-  if (health.state === 'leaving') return {...health, failureStreak: 0};
+  if (health.state === 'leaving') return {...health, consecutiveFailures: 0};
   const isBack = health.state !== 'healthy';
   return {
     ...createHealthyState(),
-    backAtMs: isBack ? nowMs : health.backAtMs,
+    recoveredAtMs: isBack ? nowMs : health.recoveredAtMs,
   };
 }
 
@@ -85,25 +85,27 @@
   policy: HealthPolicy,
   nowMs: number,
 ): HealthState {
-  const failureStreak = health.failureStreak + 1;
-  if (health.state === 'leaving') return {...health, failureStreak};
+  const failureStreak = health.consecutiveFailures + 1;
+  if (health.state === 'leaving')
+    return {...health, consecutiveFailures: failureStreak};
   const isTrial = health.state === 'trial';
   const isOut =
-    isTrial || kind === 'refused' || failureStreak >= policy.failuresToOut;
-  if (!isOut) return {...health, failureStreak};
+    isTrial || kind === 'refused' || failureStreak >= policy.failuresToEject;
+  if (!isOut) return {...health, consecutiveFailures: failureStreak};
   // Work that was under way when the upstream went out tells nothing new, and
   // must not push the trial further off.
-  if (health.state === 'out') return {...health, failureStreak};
+  if (health.state === 'out')
+    return {...health, consecutiveFailures: failureStreak};
   const delayMs = Math.min(
-    policy.maxTrialAfterMs,
-    policy.trialAfterMs * 2 ** health.outCount,
+    policy.maxTrialDelayMs,
+    policy.trialDelayMs * 2 ** health.ejectionCount,
   );
   return {
     ...health,
     state: 'out',
-    failureStreak,
-    outCount: health.outCount + 1,
-    trialAtMs: nowMs + delayMs,
+    consecutiveFailures: failureStreak,
+    ejectionCount: health.ejectionCount + 1,
+    nextTrialAtMs: nowMs + delayMs,
   };
 }
 
@@ -134,7 +136,7 @@
  * the word that it leaves; one that is out stays out, because a wedged
  * upstream answers its reports as well.
  */
-export function recordLive(
+export function recordLiveReport(
   health: HealthState,
   policy: HealthPolicy,
   reportAtMs: number,
@@ -144,21 +146,21 @@
     const isFresh = reportAtMs > health.leavingAtMs + CLOCK_SKEW_MS;
     if (!isFresh) return health;
     const trialAtMs = Math.max(nowMs, health.backOffUntilMs);
-    return {...health, state: 'out', trialAtMs};
+    return {...health, state: 'out', nextTrialAtMs: trialAtMs};
   }
   if (policy.reportRestores && health.state === 'out') {
-    return {...createHealthyState(), backAtMs: nowMs};
+    return {...createHealthyState(), recoveredAtMs: nowMs};
   }
   return health;
 }
 
 /** Returns the share of its full work that an upstream gets, from 0.2 up to 1. */
-export function getStartFactor(
+export function getSlowStartFactor(
   health: HealthState,
   policy: HealthPolicy,
   nowMs: number,
 ): number {
-  if (health.backAtMs === 0) return 1;
-  const grown = (nowMs - health.backAtMs) / policy.slowStartMs;
+  if (health.recoveredAtMs === 0) return 1;
+  const grown = (nowMs - health.recoveredAtMs) / policy.slowStartMs;
   return Math.min(1, 0.2 + 0.8 * Math.max(0, grown));
 }
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,12 +1,12 @@
 /** Pure decisions about upstreams: health, load, candidates and the choice among them. */
 export {
   createHealthyState,
-  getStartFactor,
+  getSlowStartFactor,
   isCandidate,
   recordBackOff,
   recordFailure,
   recordLeaving,
-  recordLive,
+  recordLiveReport,
   recordSuccess,
   recordTrial,
   DEFAULT_HEALTH_POLICY,
@@ -21,7 +21,7 @@
   predictDurationMs,
   recordDispatch,
   recordSlowness,
-  recordEnd,
+  recordCompletion,
   type LoadState,
 } from './load.ts';
 export {
--- a/packages/routing/src/load.ts
+++ b/packages/routing/src/load.ts
@@ -29,7 +29,7 @@
 }
 
 /** A request of this instance has ended, in whatever way. */
-export function recordEnd(load: LoadState): LoadState {
+export function recordCompletion(load: LoadState): LoadState {
   return {...load, ownInFlight: Math.max(0, load.ownInFlight - 1)};
 }
 
--- a/packages/routing/src/selectors.ts
+++ b/packages/routing/src/selectors.ts
@@ -31,10 +31,10 @@
   /** @returns undefined where there are no candidates. */
   chooseUpstream(input: ChoiceInput): Choice | undefined {
     if (input.candidates.length === 0) return undefined;
-    return this.chooseAmong(input);
+    return this.chooseCandidate(input);
   }
 
-  protected abstract chooseAmong(input: ChoiceInput): Choice;
+  protected abstract chooseCandidate(input: ChoiceInput): Choice;
 }
 
 /** The names under which selectors can be asked for. */
@@ -69,7 +69,7 @@
     this.random = random;
   }
 
-  protected chooseAmong({candidates}: ChoiceInput): Choice {
+  protected chooseCandidate({candidates}: ChoiceInput): Choice {
     const {id} = candidates[Math.floor(this.random() * candidates.length)];
     return {id, reason: 'random', compared: [id]};
   }
@@ -79,7 +79,7 @@
 export class RoundRobinSelector extends UpstreamSelector {
   private turn = 0;
 
-  protected chooseAmong({candidates}: ChoiceInput): Choice {
+  protected chooseCandidate({candidates}: ChoiceInput): Choice {
     const {id} = candidates[this.turn++ % candidates.length];
     return {id, reason: 'round robin', compared: [id]};
   }
@@ -94,7 +94,7 @@
     this.random = random;
   }
 
-  protected chooseAmong({candidates}: ChoiceInput): Choice {
+  protected chooseCandidate({candidates}: ChoiceInput): Choice {
     const least = Math.min(...candidates.map(({ownInFlight}) => ownInFlight));
     const tied = candidates.filter(({ownInFlight}) => ownInFlight === least);
     const {id} = tied[Math.floor(this.random() * tied.length)];
@@ -129,7 +129,7 @@
     this.random = random;
   }
 
-  protected chooseAmong(input: ChoiceInput): Choice {
+  protected chooseCandidate(input: ChoiceInput): Choice {
     const compared = this.chooseCompared(input);
     const leastMs = Math.min(...compared.map(({predictedMs}) => predictedMs));
     const alike = compared.filter(
--- a/packages/stages/src/batch-plan.test.ts
+++ b/packages/stages/src/batch-plan.test.ts
@@ -62,7 +62,7 @@
     free,
     domainsInUse: new Set(free.map(({failureDomain}) => failureDomain)),
     upstreamsInUse: free.length,
-    hasUsualUpstream: free.some(({slowness}) => slowness < 2),
+    hasNormalSpeedUpstream: free.some(({slowness}) => slowness < 2),
   };
 }
 
@@ -228,7 +228,7 @@
     batch.parts.map(({jobId}) => jobId),
     ['patient', 'missed'],
   );
-  const [only] = assembleBatches({...input, hasUsualUpstream: false});
+  const [only] = assembleBatches({...input, hasNormalSpeedUpstream: false});
   assert.equal(only.parts.length, 3);
 });
 
--- a/packages/stages/src/batch-plan.ts
+++ b/packages/stages/src/batch-plan.ts
@@ -58,7 +58,7 @@
   /** Upstreams in use, busy ones counted. */
   readonly upstreamsInUse: number;
   /** Whether one of them, busy or not, works at about the usual speed. */
-  readonly hasUsualUpstream: boolean;
+  readonly hasNormalSpeedUpstream: boolean;
 }
 
 /** Below this, results may be read from another failure domain at once. */
@@ -234,7 +234,7 @@
   {slowness}: FreeUpstream,
   input: BatchPlanInput,
 ): boolean {
-  if (slowness < SLOW_FACTOR || !input.hasUsualUpstream) return true;
+  if (slowness < SLOW_FACTOR || !input.hasNormalSpeedUpstream) return true;
   if (isLate(job, 1, input)) return true;
   return !isLate(job, slowness, input);
 }
--- a/packages/stages/src/batch-runner.ts
+++ b/packages/stages/src/batch-runner.ts
@@ -4,13 +4,13 @@
 import type {StageCapacity} from '@hollowstack/routes';
 import type {StageResult} from '@hollowstack/types';
 import type {Batch} from './batch-plan.ts';
-import type {InputReads} from './input-reads.ts';
+import type {EarlyInputReleaser} from './early-input-releaser.ts';
 import {splitBrokenCall} from './broken-call.ts';
 import {
-  listShares,
-  listStates,
+  listCallShares,
+  listJobStates,
   type JobState,
-  type TakenPiece,
+  type InFlightPiece,
 } from './job-state.ts';
 import type {JobTable} from './job-table.ts';
 import type {ServiceTimes} from './service-times.ts';
@@ -18,7 +18,7 @@
 import {StageCallError, type StageCaller} from './stage-caller.ts';
 import type {StageFleet} from './stage-fleet.ts';
 import type {PieceOutcome, RunAnswer} from './stage-protocol.ts';
-import type {StageUpstream} from './stage-upstreams.ts';
+import type {StageUpstream} from './stage-upstream.ts';
 
 /** Dependencies of BatchRunner. */
 export interface BatchRunnerParts {
@@ -30,23 +30,23 @@
   readonly fleet: StageFleet;
   /** Learns what calls take. */
   readonly times: ServiceTimes;
-  readonly inputReads: InputReads;
+  readonly inputReleaser: EarlyInputReleaser;
   /** Whether inputs are given back while the calls that have read them still work. */
-  readonly releasesRead: boolean;
+  readonly releasesInputsEarly: boolean;
   /** Gives results back to the upstreams that keep them. */
   readonly releaseResults: (results: readonly StageResult[]) => void;
   /** Called when pieces of a job were taken, or wait again. */
-  readonly handlePhase: (state: JobState) => void;
+  readonly handlePhaseChange: (state: JobState) => void;
   /** Called when a call is over. */
-  readonly handleEnd: () => void;
+  readonly handleCallEnd: () => void;
 }
 
 /** How a batch is to be run. */
-export interface BatchRun {
+export interface BatchRunOptions {
   readonly capacity: StageCapacity;
   readonly nowMs: number;
   /** Whether a call's items or more wait that no upstream was free for. */
-  readonly isLoaded: boolean;
+  readonly hasBacklog: boolean;
 }
 
 /** A call that is answered. */
@@ -78,7 +78,7 @@
   /** Makes the call of a batch and settles what it brought; never rejects. */
   async runBatch(
     batch: Batch,
-    {capacity, nowMs, isLoaded}: BatchRun,
+    {capacity, nowMs, hasBacklog}: BatchRunOptions,
   ): Promise<void> {
     const upstream = this.parts.fleet.findUpstream(batch.upstreamId)!;
     const taken = batch.parts.flatMap(part =>
@@ -87,11 +87,12 @@
     const {id} = upstream.record;
     for (const {job} of taken)
       this.parts.fleet.reserveBytes(id, job.resultBytes);
-    for (const state of listStates(taken)) this.parts.handlePhase(state);
-    const shares = listShares(taken, capacity);
+    for (const state of listJobStates(taken))
+      this.parts.handlePhaseChange(state);
+    const shares = listCallShares(taken, capacity);
     const expectedMs =
-      capacity.callMs + this.parts.times.computeItemsMs(shares);
-    const reads = this.parts.inputReads.beginCall(taken, expectedMs);
+      capacity.callMs + this.parts.times.computePiecesMs(shares);
+    const reads = this.parts.inputReleaser.beginCall(taken, expectedMs);
     upstream.beginCall();
     try {
       const answer = await this.parts.caller.runPieces(
@@ -103,7 +104,7 @@
           CALL_TIMEOUT_MARGIN_MS,
         () => {
           if (!this.parts.fleet.acquireSend(id)) return false;
-          if (this.parts.releasesRead) reads.recordSent();
+          if (this.parts.releasesInputsEarly) reads.recordSent();
           return true;
         },
       );
@@ -111,7 +112,7 @@
         startedAtMs: nowMs,
         expectedMs,
         capacity,
-        isLoaded,
+        isLoaded: hasBacklog,
       });
     } catch (error) {
       this.handleFailure(upstream, taken, error, nowMs);
@@ -119,14 +120,15 @@
       reads.end();
       upstream.endCall(this.parts.clock.getNow());
       // Some of them may wait again.
-      for (const state of listStates(taken)) this.parts.handlePhase(state);
-      this.parts.handleEnd();
+      for (const state of listJobStates(taken))
+        this.parts.handlePhaseChange(state);
+      this.parts.handleCallEnd();
     }
   }
 
   private handleAnswer(
     upstream: StageUpstream,
-    taken: readonly TakenPiece[],
+    taken: readonly InFlightPiece[],
     answer: RunAnswer,
     call: RunningCall,
   ): void {
@@ -145,7 +147,7 @@
     this.recordTimes(upstream, taken, answer, call);
     const {id, service} = upstream.record;
     const {outcomes} = answer;
-    for (const state of listStates(taken)) state.recordAnsweredCall();
+    for (const state of listJobStates(taken)) state.recordAnsweredCall();
     logAnsweredCall(
       {
         service,
@@ -170,7 +172,7 @@
   // the expectation that is wrong.
   private recordTimes(
     upstream: StageUpstream,
-    taken: readonly TakenPiece[],
+    taken: readonly InFlightPiece[],
     answer: RunAnswer,
     {capacity, startedAtMs, expectedMs, isLoaded}: RunningCall,
   ): void {
@@ -180,22 +182,25 @@
       answer.type === 'outcomes' &&
       answer.outcomes.every(({type}) => type === 'made');
     if (!isWhole) return;
-    const usualSlowness = this.parts.fleet.getUsualSlowness(service);
+    const usualSlowness = this.parts.fleet.getMedianSlowness(service);
     const slowness = upstream.getSlowness(nowMs) / usualSlowness;
     this.parts.times.recordCall({
       service,
       batchSize: capacity.batchSize,
-      shares: listShares(taken, capacity),
+      shares: listCallShares(taken, capacity),
       expectedMs,
       tookMs: (nowMs - startedAtMs) / slowness,
     });
     if (!isLoaded) return;
-    this.parts.times.recordFill(service, taken.length / capacity.batchSize);
+    this.parts.times.recordFillRatio(
+      service,
+      taken.length / capacity.batchSize,
+    );
   }
 
   private settlePiece(
     upstream: StageUpstream,
-    taken: TakenPiece,
+    taken: InFlightPiece,
     outcome: PieceOutcome,
     {capacity, startedAtMs}: {capacity: StageCapacity; startedAtMs: number},
   ): void {
@@ -212,8 +217,8 @@
         owner: job.owner,
         service: job.service,
         bytes: job.resultBytes,
-        sinceMs: startedAtMs,
-        untilMs: nowMs + capacity.resultTtlMs,
+        reservedAtMs: startedAtMs,
+        expiresAtMs: nowMs + capacity.resultTtlMs,
       });
       if (!state.recordResult(piece.piece, result)) {
         this.parts.releaseResults([result]);
@@ -233,7 +238,7 @@
     if (failure === 'no-room') {
       // Somebody else's results lie there, of an instance that is gone maybe.
       const free = this.parts.fleet.countFreeBytes(upstream);
-      upstream.addUnknownBytes(free - job.resultBytes + 1, nowMs);
+      upstream.addUntrackedBytes(free - job.resultBytes + 1, nowMs);
       this.putBack(taken);
       return;
     }
@@ -242,13 +247,13 @@
 
   private handleFailure(
     upstream: StageUpstream,
-    taken: readonly TakenPiece[],
+    taken: readonly InFlightPiece[],
     error: unknown,
     sentAtMs: number,
   ): void {
     const {id, service, address} = upstream.record;
     const nowMs = this.parts.clock.getNow();
-    const signs = error instanceof StageCallError ? error.signs : undefined;
+    const signs = error instanceof StageCallError ? error.details : undefined;
     upstream.recordFailure(nowMs, signs?.isUnreachable ? 'refused' : 'broken');
     const reason = error instanceof Error ? error.message : String(error);
     this.parts.logger.logEvent('stage.call-failed', {
@@ -260,13 +265,13 @@
       reason,
     });
     const message = `call to upstream ${id} failed: ${reason}`;
-    if (signs?.isLost) {
+    if (signs?.isConnectionLost) {
       const call = {
         upstream: {id, service, address},
         sentAtMs,
         endedAtMs: nowMs,
       };
-      for (const state of splitBrokenCall(listStates(taken), call)) {
+      for (const state of splitBrokenCall(listJobStates(taken), call)) {
         this.parts.jobs.fail(state, 'failed', message);
       }
     }
@@ -278,7 +283,7 @@
 
   private putBackPieces(
     upstream: StageUpstream,
-    taken: readonly TakenPiece[],
+    taken: readonly InFlightPiece[],
   ): void {
     for (const piece of taken) {
       this.parts.fleet.cancelReservation(
@@ -289,14 +294,14 @@
     }
   }
 
-  private putBackOrFail(taken: TakenPiece, message: string): void {
+  private putBackOrFail(taken: InFlightPiece, message: string): void {
     if (taken.state.recordFailedPiece()) this.putBack(taken);
     else this.parts.jobs.fail(taken.state, 'failed', message);
   }
 
   // The stages before it have to run again, and the sooner the better.
-  private putBack({state, piece}: TakenPiece): void {
-    if (state.putBackPiece(piece.piece)) return;
+  private putBack({state, piece}: InFlightPiece): void {
+    if (state.requeuePiece(piece.piece)) return;
     this.parts.jobs.fail(
       state,
       'input-gone',
--- a/packages/stages/src/broken-call.ts
+++ b/packages/stages/src/broken-call.ts
@@ -1,5 +1,5 @@
 import {createIsolation} from './isolation.ts';
-import type {JobState, LostCall} from './job-state.ts';
+import type {JobState, LocalBrokenCall} from './job-state.ts';
 
 /**
  * Has the jobs of a call whose connection broke tried again apart: one of them may have
@@ -9,9 +9,9 @@
  */
 export function splitBrokenCall(
   states: ReadonlySet<JobState>,
-  call: LostCall,
+  call: LocalBrokenCall,
 ): JobState[] {
   const callId = `${call.upstream.id}/${call.sentAtMs}`;
   const isolation = createIsolation(callId, states.size);
-  return [...states].filter(state => !state.recordLostCall(call, isolation));
+  return [...states].filter(state => !state.recordBrokenCall(call, isolation));
 }
--- a/packages/stages/src/early-input-releaser.test.ts
+++ b/packages/stages/src/early-input-releaser.test.ts
@@ -92,7 +92,7 @@
     backOffs: new BackOffTable({clock, logger}),
     limiter: NO_LIMITS,
     random: getMiddle,
-    releasesRead: options.releasesRead ?? true,
+    releasesInputsEarly: options.releasesRead ?? true,
   });
   const services = [
     createService('make', options.memory),
--- a/packages/stages/src/early-input-releaser.ts
+++ b/packages/stages/src/early-input-releaser.ts
@@ -1,10 +1,10 @@
 import type {Clock, Timer} from '@hollowstack/clock';
 import type {StageResult} from '@hollowstack/types';
-import type {JobState, TakenPiece} from './job-state.ts';
+import type {JobState, InFlightPiece} from './job-state.ts';
 import type {StageFleet} from './stage-fleet.ts';
 
 /** Dependencies of InputReads. */
-export interface InputReadsParts {
+export interface EarlyInputReleaserParts {
   readonly clock: Clock;
   readonly fleet: Pick<StageFleet, 'findHeldInput' | 'isShortOfMemory'>;
   /** Gives results back to the upstreams that keep them. */
@@ -12,7 +12,7 @@
 }
 
 /** A call whose reading of inputs is followed. */
-export interface CallReads {
+export interface CallReadTracker {
   /** Notes that the first byte of the call leaves. */
   recordSent(): void;
   /** Notes that the call is over, whatever became of it. */
@@ -30,15 +30,18 @@
  * Gives the inputs of jobs back while the calls that have read them still work, where
  * the memory that they take is short.
  */
-export class InputReads {
-  private readonly parts: InputReadsParts;
+export class EarlyInputReleaser {
+  private readonly parts: EarlyInputReleaserParts;
 
-  constructor(parts: InputReadsParts) {
+  constructor(parts: EarlyInputReleaserParts) {
     this.parts = parts;
   }
 
   /** Begins to follow a call. */
-  beginCall(taken: readonly TakenPiece[], expectedMs: number): CallReads {
+  beginCall(
+    taken: readonly InFlightPiece[],
+    expectedMs: number,
+  ): CallReadTracker {
     const {clock} = this.parts;
     let timer: Timer | undefined;
     return {
@@ -51,7 +54,7 @@
     };
   }
 
-  private recordRead(taken: readonly TakenPiece[]): void {
+  private recordRead(taken: readonly InFlightPiece[]): void {
     for (const {state, piece} of taken) {
       state.recordRead(piece.piece);
       if (state.mayReleaseInputs()) this.releaseInputs(state);
--- a/packages/stages/src/first-event-times.test.ts
+++ b/packages/stages/src/first-event-times.test.ts
@@ -12,8 +12,8 @@
 
 test('a few requests give a mean, whatever their sizes', () => {
   const times = new FirstEventTimes(new ManualClock());
-  times.recordFirst('r', 100, 80);
-  times.recordFirst('r', 9000, 120);
+  times.recordFirstEvent('r', 100, 80);
+  times.recordFirstEvent('r', 9000, 120);
   const small = times.predictMs('r', 100, 0);
   assert.equal(times.predictMs('r', 50_000, 0), small);
 });
@@ -24,7 +24,7 @@
   for (let index = 0; index < 200; index++) {
     const tokens = index % 10 === 0 ? 50_000 : 100 + (index % 7) * 900;
     const heldUpMs = index % 5 === 0 ? 30 : 0;
-    times.recordFirst('r', tokens, 40 + tokens / 100 + heldUpMs);
+    times.recordFirstEvent('r', tokens, 40 + tokens / 100 + heldUpMs);
   }
   assert.ok(Math.abs(times.predictMs('r', 50_000, 0) - 545) < 40);
   assert.ok(times.predictMs('r', 100, 0) < 80);
@@ -34,7 +34,7 @@
 test('no size is predicted to take less than nothing, nor larger ones less than small ones', () => {
   const times = new FirstEventTimes(new ManualClock());
   for (let index = 0; index < 100; index++) {
-    times.recordFirst('r', (index % 10) * 100, 500 - (index % 10) * 50);
+    times.recordFirstEvent('r', (index % 10) * 100, 500 - (index % 10) * 50);
   }
   assert.equal(times.predictMs('r', 0, 0), times.predictMs('r', 90_000, 0));
   assert.ok(times.predictMs('r', 0, 0) > 0);
@@ -43,7 +43,7 @@
 test('what was seen long ago gives way to what the caller says', async () => {
   const clock = new ManualClock();
   const times = new FirstEventTimes(clock);
-  times.recordFirst('r', 100, 2000);
+  times.recordFirstEvent('r', 100, 2000);
   await clock.advance(4000);
   assert.equal(times.predictMs('r', 100, 100), 1050);
 });
--- a/packages/stages/src/first-event-times.ts
+++ b/packages/stages/src/first-event-times.ts
@@ -43,7 +43,7 @@
   }
 
   /** Notes how long a request took to its first event. */
-  recordFirst(route: string, ownTokens: number, firstMs: number): void {
+  recordFirstEvent(route: string, ownTokens: number, firstMs: number): void {
     const before = this.sums.get(route);
     const keep = before ? DECAY : 0;
     const add = (sum: number | undefined, value: number) =>
@@ -74,7 +74,7 @@
   }
 
   /** Predicts the same for a request of usual size. */
-  predictUsualMs(route: string, defaultMs: number): number {
+  predictMeanMs(route: string, defaultMs: number): number {
     const seen = this.sums.get(route);
     if (!seen) return defaultMs;
     return this.computeFaded(seen, seen.ms / seen.weight, defaultMs);
--- a/packages/stages/src/index.ts
+++ b/packages/stages/src/index.ts
@@ -8,7 +8,7 @@
   type FreeUpstream,
   type WaitingJob,
 } from './batch-plan.ts';
-export {ResultRoom} from './result-room.ts';
+export {ResultMemory} from './result-memory.ts';
 export {StageCaller, StageCallError, type StageTarget} from './stage-caller.ts';
 export {
   StageCoordinator,
@@ -26,11 +26,11 @@
   type StageAdmissionParts,
 } from './stage-admission.ts';
 export {
-  WorkLedger,
+  PendingWorkTable,
   computeWorkMs,
   predictFinishMs,
   type FinishInput,
-} from './work-ledger.ts';
+} from './pending-work-table.ts';
 export {
   StageProtocol,
   type EncodedAnswer,
@@ -44,5 +44,5 @@
   RequestStages,
   StageError,
   type RequestStagesInput,
-  type StageInputs,
+  type FinalStageResults,
 } from './request-stages.ts';
--- a/packages/stages/src/job-state.ts
+++ b/packages/stages/src/job-state.ts
@@ -11,7 +11,7 @@
 import type {StagePiece} from './stage-protocol.ts';
 
 /** A piece that is on its way to an upstream. */
-export interface TakenPiece {
+export interface InFlightPiece {
   readonly state: JobState;
   readonly job: StageJob;
   readonly piece: StagePiece;
@@ -23,7 +23,7 @@
 const MAX_BROKEN_CALLS = 2;
 
 /** A call whose connection broke, on the clock of this instance. */
-export interface LostCall {
+export interface LocalBrokenCall {
   readonly upstream: BrokenCall['upstream'];
   readonly sentAtMs: number;
   readonly endedAtMs: number;
@@ -41,7 +41,7 @@
   private readonly waiting: number[];
   private readonly results: Array<StageResult | undefined>;
   private readonly read = new Set<number>();
-  private readonly lostCalls: LostCall[] = [];
+  private readonly lostCalls: LocalBrokenCall[] = [];
   private isolation: Isolation | undefined;
   private failedPieces = 0;
   private areInputsReleased = false;
@@ -85,7 +85,7 @@
   }
 
   /** Takes the next pieces to be asked of an upstream. */
-  takePieces(count: number, nowMs: number): TakenPiece[] {
+  takePieces(count: number, nowMs: number): InFlightPiece[] {
     const {job} = this;
     return this.waiting.splice(0, count).map(piece => ({
       state: this,
@@ -105,7 +105,7 @@
    * Puts a piece back that was not made; false where its inputs are given back already,
    * so that it cannot be made any more.
    */
-  putBackPiece(piece: number): boolean {
+  requeuePiece(piece: number): boolean {
     if (this.areInputsReleased) return false;
     this.read.delete(piece);
     this.waiting.unshift(piece);
@@ -124,7 +124,7 @@
    *
    * @param isolation How the jobs of the call are tried again.
    */
-  recordLostCall(call: LostCall, isolation: Isolation): boolean {
+  recordBrokenCall(call: LocalBrokenCall, isolation: Isolation): boolean {
     this.lostCalls.push(call);
     const wasAlone = isolation.maxJobs === 1 && this.isolation?.maxJobs === 1;
     this.isolation = isolation;
@@ -188,15 +188,15 @@
 }
 
 /** Lists the jobs that items of a call belong to. */
-export function listStates(
-  taken: readonly TakenPiece[],
+export function listJobStates(
+  taken: readonly InFlightPiece[],
 ): ReadonlySet<JobState> {
   return new Set(taken.map(({state}) => state));
 }
 
 /** Counts the pieces of a call by the stages that they belong to. */
-export function listShares(
-  taken: readonly TakenPiece[],
+export function listCallShares(
+  taken: readonly InFlightPiece[],
   {pieceMs}: StageCapacity,
 ): CallShare[] {
   const counts = new Map<string, number>();
--- a/packages/stages/src/job-table.ts
+++ b/packages/stages/src/job-table.ts
@@ -1,4 +1,4 @@
-import type {StageCapacity, Shortage} from '@hollowstack/routes';
+import type {StageCapacity, Unavailability} from '@hollowstack/routes';
 import type {
   StageFailure,
   StageJob,
@@ -79,9 +79,9 @@
   }
 
   /** Ends the jobs that no upstream of their service will take in time. */
-  failShort(
+  failUnservable(
     service: string,
-    {reason, waitMs = Infinity, retryAfterMs}: Shortage,
+    {reason, waitMs = Infinity, retryAfterMs}: Unavailability,
     capacity: StageCapacity,
   ): void {
     const beginAtMs = this.parts.getNow() + waitMs;
--- a/packages/stages/src/learned-call-times.test.ts
+++ b/packages/stages/src/learned-call-times.test.ts
@@ -83,7 +83,7 @@
     backOffs: new BackOffTable({clock, logger}),
     limiter: NO_LIMITS,
     random: getMiddle,
-    releasesRead: true,
+    releasesInputsEarly: true,
   });
   const table = {configuration: {services: [SERVICE]}};
   coordinator.setConfiguration(table as unknown as RouteTable);
--- a/packages/stages/src/limited-stage.test.ts
+++ b/packages/stages/src/limited-stage.test.ts
@@ -100,7 +100,7 @@
     },
     backOffs: new BackOffTable({clock, logger}),
     random: getMiddle,
-    releasesRead: true,
+    releasesInputsEarly: true,
   });
   const routes = {configuration: {services: [SERVICE]}};
   coordinator.setConfiguration(routes as unknown as RouteTable);
--- a/packages/stages/src/peer-watch.ts
+++ b/packages/stages/src/peer-watch.ts
@@ -11,7 +11,7 @@
 }
 
 /** One caller's part in the watch of a peer. */
-export interface PeerWatching {
+export interface PeerWatchHandle {
   /** Resolves once the peer is silent; never, where it answers. */
   readonly failed: Promise<undefined>;
   end(): void;
@@ -54,7 +54,7 @@
   }
 
   /** Watches a peer until the returned part is ended. */
-  beginWatching(record: PeerRecord): PeerWatching {
+  beginWatching(record: PeerRecord): PeerWatchHandle {
     const peer = this.watched.get(record.id) ?? this.addPeer(record);
     let waiter = () => {};
     const failed = new Promise<undefined>(resolve => {
--- a/packages/stages/src/pending-work-table.ts
+++ b/packages/stages/src/pending-work-table.ts
@@ -73,7 +73,7 @@
 }
 
 /** The work that admitted requests still bring to each service. */
-export class WorkLedger {
+export class PendingWorkTable {
   /** Work by service, then by request and step. */
   private readonly pending = new Map<string, Map<string, PendingWork>>();
 
@@ -115,7 +115,7 @@
    * for both, a request waits for work that comes long after its own, and 8 of 100 were
    * refused on a day when nothing was short.
    */
-  computeAhead(
+  computeWorkAhead(
     service: string,
     priority: number,
     phase: 'queued' | 'planned',
--- a/packages/stages/src/poison-job.test.ts
+++ b/packages/stages/src/poison-job.test.ts
@@ -31,7 +31,10 @@
     if (isPoisoned) {
       crashed.push(id);
       registerLife();
-      throw new StageCallError('aborted', {isUnreachable: false, isLost: true});
+      throw new StageCallError('aborted', {
+        isUnreachable: false,
+        isConnectionLost: true,
+      });
     }
     const outcomes = requestIds.map(
       handle => ({type: 'made', handle, address: id}) as const,
--- a/packages/stages/src/request-stages.ts
+++ b/packages/stages/src/request-stages.ts
@@ -47,9 +47,9 @@
   readonly remainingMs: number;
   readonly priority: number;
   /** Whether stages with large results start as late as the request allows. */
-  readonly startsLate: boolean;
+  readonly defersLargeStages: boolean;
   /** Whether the caller has the time to come back. */
-  readonly mayComeBack: boolean;
+  readonly mayRetry: boolean;
   /** Tokens of the prompt that no other request shares. */
   readonly ownTokens: number;
   /** Whether upstreams crashed under the request, so that no other shares its calls. */
@@ -76,7 +76,7 @@
 }
 
 /** Results that the request itself reads. */
-export interface StageInputs {
+export interface FinalStageResults {
   readonly results: readonly StageResult[];
   /** Bytes that lie in each failure domain. */
   readonly bytesByDomain: ReadonlyMap<string, number>;
@@ -136,7 +136,7 @@
       dueInMs: input.dueInMs,
       remainingMs: input.remainingMs,
       priority: input.priority,
-      mayComeBack: input.mayComeBack,
+      mayComeBack: input.mayRetry,
     });
     this.firstMs = decision.firstMs;
     if (decision.isAdmitted) return decision.predictedMs;
@@ -165,7 +165,7 @@
    *
    * @throws HollowstackError where a stage has no results.
    */
-  async run(signal: AbortSignal): Promise<StageInputs> {
+  async run(signal: AbortSignal): Promise<FinalStageResults> {
     try {
       return await this.runAll(signal);
     } catch (error) {
@@ -176,7 +176,7 @@
     }
   }
 
-  private async runAll(signal: AbortSignal): Promise<StageInputs> {
+  private async runAll(signal: AbortSignal): Promise<FinalStageResults> {
     const {stages} = this.input.route;
     this.runs = [];
     this.stageStartsMs = [];
@@ -205,7 +205,7 @@
   }
 
   /** Notes how long the request itself took to its first bytes, its stages done. */
-  recordFirst(firstMs: number): void {
+  recordFirstEvent(firstMs: number): void {
     this.durations.recordMs(this.createRequestKey(), firstMs);
   }
 
@@ -322,7 +322,7 @@
     index: number,
     signal: AbortSignal,
   ): Promise<void> {
-    if (!this.input.startsLate || !this.hasLargeResults(index)) return;
+    if (!this.input.defersLargeStages || !this.hasLargeResults(index)) return;
     for (;;) {
       const slackMs = computeSlackMs(this.listProgress(), index);
       if (slackMs <= 0) return;
--- a/packages/stages/src/result-memory.ts
+++ b/packages/stages/src/result-memory.ts
@@ -1,7 +1,7 @@
 import type {OwnedResult, ResultOwner} from '@hollowstack/types';
 
 /** A result that its upstream holds. */
-export interface HeldResult {
+export interface StoredResult {
   readonly upstreamId: string;
   /** Address of that upstream. */
   readonly address: string;
@@ -11,17 +11,17 @@
   readonly service: string;
   readonly bytes: number;
   /** When its call began: from then on it takes room. */
-  readonly sinceMs: number;
+  readonly reservedAtMs: number;
   /** When its upstream drops it. */
-  readonly untilMs: number;
+  readonly expiresAtMs: number;
 }
 
 /**
  * Accounts for the room that results take at their upstreams: reserved from
  * before their call, held until they are released or run out.
  */
-export class ResultRoom {
-  private readonly held = new Map<string, HeldResult>();
+export class ResultMemory {
+  private readonly held = new Map<string, StoredResult>();
   private readonly used = new Map<string, number>();
 
   /** Returns the bytes reserved and held at an upstream. */
@@ -30,7 +30,7 @@
   }
 
   /** Returns the bytes of results that the upstreams of a service hold. */
-  countHeldBytes(service: string): number {
+  countStoredBytes(service: string): number {
     let sum = 0;
     for (const result of this.held.values()) {
       if (result.service === service) sum += result.bytes;
@@ -49,12 +49,12 @@
   }
 
   /** Turns a reservation into a held result. */
-  recordResult(handle: string, result: HeldResult): void {
+  recordResult(handle: string, result: StoredResult): void {
     this.held.set(handle, result);
   }
 
   /** Returns the upstream that holds a result, if it is known. */
-  findUpstreamOf(handle: string): string | undefined {
+  findUpstreamId(handle: string): string | undefined {
     return this.held.get(handle)?.upstreamId;
   }
 
@@ -67,7 +67,7 @@
   }
 
   /** Notes that a result was released; returns it if it was held. */
-  release(handle: string): HeldResult | undefined {
+  release(handle: string): StoredResult | undefined {
     const result = this.held.get(handle);
     if (!result) return undefined;
     this.held.delete(handle);
@@ -77,8 +77,8 @@
 
   /** Forgets the results that their upstreams no longer keep. */
   removeExpired(nowMs: number): void {
-    for (const [handle, {untilMs}] of this.held) {
-      if (untilMs <= nowMs) this.release(handle);
+    for (const [handle, {expiresAtMs}] of this.held) {
+      if (expiresAtMs <= nowMs) this.release(handle);
     }
   }
 
--- a/packages/stages/src/service-times.test.ts
+++ b/packages/stages/src/service-times.test.ts
@@ -22,7 +22,7 @@
   tookMs: number,
 ): void {
   const callMs = times.getCallMs(SERVICE, CONFIGURED_CALL_MS);
-  const expectedMs = callMs + times.computeItemsMs(shares);
+  const expectedMs = callMs + times.computePiecesMs(shares);
   times.recordCall({
     service: SERVICE,
     batchSize: BATCH_SIZE,
@@ -34,7 +34,7 @@
 
 test('an item takes what the configuration says until calls were seen', () => {
   const times = new ServiceTimes();
-  assert.equal(times.computeItemsMs(createShares({large: 2, small: 3})), 100);
+  assert.equal(times.computePiecesMs(createShares({large: 2, small: 3})), 100);
 });
 
 test('stages that share a service, and what calls take beside them, are learnt apart from mixed calls', () => {
--- a/packages/stages/src/service-times.ts
+++ b/packages/stages/src/service-times.ts
@@ -61,12 +61,12 @@
   }
 
   /** Returns the share of a batch that calls of a service are filled to under load. */
-  getFill(service: string): number {
+  getFillRatio(service: string): number {
     return this.fills.get(service) ?? USUAL_FILL;
   }
 
   /** Computes milliseconds that the items of a call take. */
-  computeItemsMs(shares: readonly CallShare[]): number {
+  computePiecesMs(shares: readonly CallShare[]): number {
     return shares.reduce(
       (sum, {stageKey, itemCount, configuredMs}) =>
         sum + itemCount * this.getItemMs(stageKey, configuredMs),
@@ -109,8 +109,8 @@
   }
 
   /** Notes how full a call was that left work of its service waiting. */
-  recordFill(service: string, fill: number): void {
-    const before = this.getFill(service);
+  recordFillRatio(service: string, fill: number): void {
+    const before = this.getFillRatio(service);
     this.fills.set(service, before + (fill - before) * FILL_WEIGHT);
   }
 }
--- a/packages/stages/src/stage-admission.test.ts
+++ b/packages/stages/src/stage-admission.test.ts
@@ -137,8 +137,8 @@
     admission.judge(createRequest(requestId, {route, requestMs: 100}))
       .predictedMs;
   const untaughtMs = ask('a', 'slow');
-  admission.recordFirst('a', 400);
-  admission.recordFirst('unknown', 9000);
+  admission.recordFirstEvent('a', 400);
+  admission.recordFirstEvent('unknown', 9000);
   admission.recordEnded('a');
   assert.equal(ask('b', 'slow'), untaughtMs + 300);
   admission.recordEnded('b');
@@ -259,7 +259,7 @@
     const ownTokens = sizes[index % sizes.length];
     const requestId = `seen${index}`;
     admission.judge(createRequest(requestId, {ownTokens}));
-    admission.recordFirst(requestId, 60 + ownTokens / 50);
+    admission.recordFirstEvent(requestId, 60 + ownTokens / 50);
     admission.recordEnded(requestId);
   }
   const counts = sizes.map(ownTokens => {
--- a/packages/stages/src/stage-admission.ts
+++ b/packages/stages/src/stage-admission.ts
@@ -1,16 +1,16 @@
 import type {Clock, Timer} from '@hollowstack/clock';
-import type {Shortage, StageCapacity} from '@hollowstack/routes';
+import type {Unavailability, StageCapacity} from '@hollowstack/routes';
 import type {StageAdmissionRequest, StageStep} from '@hollowstack/types';
 import {FirstEventTimes} from './first-event-times.ts';
 import type {ServiceTimes} from './service-times.ts';
 import type {StageFleet} from './stage-fleet.ts';
 import {
-  WorkLedger,
+  PendingWorkTable,
   computeWorkMs,
   predictFinishMs,
   type FinishInput,
   type WorkAhead,
-} from './work-ledger.ts';
+} from './pending-work-table.ts';
 
 /** What admission asks of the upstreams of the stage services. */
 export type AdmissionFleet = Pick<
@@ -89,7 +89,7 @@
  */
 export class StageAdmission {
   private readonly parts: StageAdmissionParts;
-  private readonly ledger = new WorkLedger();
+  private readonly ledger = new PendingWorkTable();
   private readonly timers = new Map<string, Timer>();
   private readonly admitted = new Map<string, StageAdmissionRequest>();
   private readonly firstTimes: FirstEventTimes;
@@ -132,10 +132,10 @@
    * All instances tell it here: one of 200 sees a route's request every second
    * or two, too few to learn from.
    */
-  recordFirst(requestId: string, firstMs: number): void {
+  recordFirstEvent(requestId: string, firstMs: number): void {
     const request = this.admitted.get(requestId);
     if (!request) return;
-    this.firstTimes.recordFirst(request.route, request.ownTokens, firstMs);
+    this.firstTimes.recordFirstEvent(request.route, request.ownTokens, firstMs);
   }
 
   /** Notes that a step of a request waits for calls, or that all of it is in calls. */
@@ -169,7 +169,9 @@
   }
 
   // The one that lasts longest; one without a known end before all others.
-  private findShortage({steps}: StageAdmissionRequest): Shortage | undefined {
+  private findShortage({
+    steps,
+  }: StageAdmissionRequest): Unavailability | undefined {
     const needed = steps.filter(({pieceCount}) => pieceCount > 0);
     return needed
       .map(({service}) => this.parts.fleet.findShortage(service))
@@ -208,7 +210,7 @@
   // kind was refused 1.6 times as often as the rest.
   private computeExtraMs(request: StageAdmissionRequest): number {
     const {route, requestMs} = request;
-    const usualMs = this.firstTimes.predictUsualMs(route, requestMs);
+    const usualMs = this.firstTimes.predictMeanMs(route, requestMs);
     return Math.max(0, this.predictFirstMs(request) - usualMs);
   }
 
@@ -250,7 +252,7 @@
     const {times} = this.parts;
     const {service, stageKey, pieceCount, resultBytes} = step;
     const pieceMs = times.getItemMs(stageKey, capacity.pieceMs);
-    const fill = times.getFill(service);
+    const fill = times.getFillRatio(service);
     return {
       workMs: computeWorkMs(capacity, pieceCount, pieceMs, fill),
       resultBytes: pieceCount * resultBytes,
@@ -263,7 +265,7 @@
     priority: number,
     phase: 'queued' | 'planned',
   ): number {
-    const {workMs, resultBytes} = this.ledger.computeAhead(
+    const {workMs, resultBytes} = this.ledger.computeWorkAhead(
       service,
       priority,
       phase,
@@ -284,7 +286,7 @@
   }
 }
 
-function getWaitMs({waitMs = Infinity}: Shortage): number {
+function getWaitMs({waitMs = Infinity}: Unavailability): number {
   return waitMs;
 }
 
--- a/packages/stages/src/stage-back-off.test.ts
+++ b/packages/stages/src/stage-back-off.test.ts
@@ -47,7 +47,7 @@
       callsAtMs.push({id, atMs: clock.getNow()});
       if (turnAway.count > 0) {
         turnAway.count -= 1;
-        backOffs.begin(id, turnAway.forMs);
+        backOffs.beginBackOff(id, turnAway.forMs);
         return notRun;
       }
       await new Promise<void>(resolve => clock.schedule(CALL_MS, resolve));
@@ -69,7 +69,7 @@
     backOffs,
     limiter: NO_LIMITS,
     random: getMiddle,
-    releasesRead: true,
+    releasesInputsEarly: true,
   });
   const table = {configuration: {services: [SERVICE]}};
   coordinator.setConfiguration(table as unknown as RouteTable);
@@ -128,8 +128,8 @@
   // The word comes between the choice and the send, ten times over.
   for (let round = 0; round < 10; round++) {
     const job = run(`j${round}`, 2000);
-    backOffs.begin('a', 300);
-    backOffs.begin('b', 300);
+    backOffs.beginBackOff('a', 300);
+    backOffs.beginBackOff('b', 300);
     await clock.advance(1200);
     assert.equal(job.outcome?.type, 'made', `round ${round}`);
   }
@@ -173,10 +173,10 @@
     return count;
   };
   const usual = countAdmitted();
-  backOffs.begin('a', 3000);
+  backOffs.beginBackOff('a', 3000);
   const half = countAdmitted();
   assert.ok(half > 0 && half <= usual / 2 + 1, `${half} of ${usual}`);
-  backOffs.begin('b', 3000);
+  backOffs.beginBackOff('b', 3000);
   assert.equal(countAdmitted(), 0);
   await clock.advance(4000);
   assert.equal(countAdmitted(), usual);
--- a/packages/stages/src/stage-call-log.ts
+++ b/packages/stages/src/stage-call-log.ts
@@ -1,13 +1,13 @@
 import type {EventLogger} from '@hollowstack/logger';
 import type {MetricsRegistry} from '@hollowstack/metrics';
-import type {TakenPiece} from './job-state.ts';
+import type {InFlightPiece} from './job-state.ts';
 import type {PieceFailure, PieceOutcome} from './stage-protocol.ts';
 
 /** An answered call, as logs and metrics tell of it. */
 export interface AnsweredCall {
   readonly service: string;
   readonly upstreamId: string;
-  readonly taken: readonly TakenPiece[];
+  readonly taken: readonly InFlightPiece[];
   readonly outcomes: readonly PieceOutcome[];
   readonly tookMs: number;
   readonly expectedMs: number;
--- a/packages/stages/src/stage-caller.ts
+++ b/packages/stages/src/stage-caller.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@hollowstack/clock';
 import {
-  LateAnswerError,
+  AnswerTimeoutError,
   TransportError,
   callForWholeAnswer,
   isConnectionLost,
@@ -35,23 +35,26 @@
 }
 
 /** What a failed call shows of its upstream. */
-export interface StageCallSigns {
+export interface StageCallErrorDetails {
   /** Whether the upstream proved that it does not take calls. */
   readonly isUnreachable: boolean;
   /** Whether the connection ended under the call, as it does where the upstream crashes. */
-  readonly isLost: boolean;
+  readonly isConnectionLost: boolean;
 }
 
-const NO_SIGNS: StageCallSigns = {isUnreachable: false, isLost: false};
+const NO_SIGNS: StageCallErrorDetails = {
+  isUnreachable: false,
+  isConnectionLost: false,
+};
 
 /** Why a call brought no readable answer. */
 export class StageCallError extends Error {
-  readonly signs: StageCallSigns;
+  readonly details: StageCallErrorDetails;
 
   constructor(message: string, signs = NO_SIGNS) {
     super(message);
     this.name = 'StageCallError';
-    this.signs = signs;
+    this.details = signs;
   }
 }
 
@@ -112,7 +115,7 @@
       const message = error instanceof Error ? error.message : String(error);
       throw new StageCallError(message, {
         isUnreachable: isUnreachable(error),
-        isLost: isLost(error),
+        isConnectionLost: isLost(error),
       });
     }
   }
@@ -156,11 +159,11 @@
 
 // A call that ran out of its time was ended by this side.
 function isLost(error: unknown): boolean {
-  if (error instanceof LateAnswerError || isUnreachable(error)) return false;
+  if (error instanceof AnswerTimeoutError || isUnreachable(error)) return false;
   return isConnectionLost(error);
 }
 
 function isUnreachable(error: unknown): boolean {
-  if (error instanceof LateAnswerError) return true;
+  if (error instanceof AnswerTimeoutError) return true;
   return error instanceof TransportError && error.progress === 'none';
 }
--- a/packages/stages/src/stage-coordinator.ts
+++ b/packages/stages/src/stage-coordinator.ts
@@ -16,7 +16,7 @@
 } from '@hollowstack/types';
 import {SLOW_FACTOR, assembleBatches, type Batch} from './batch-plan.ts';
 import {BatchRunner} from './batch-runner.ts';
-import {InputReads} from './input-reads.ts';
+import {EarlyInputReleaser} from './early-input-releaser.ts';
 import type {JobState} from './job-state.ts';
 import {JobTable} from './job-table.ts';
 import {ResultReleaser} from './result-releaser.ts';
@@ -26,7 +26,7 @@
   type StageAdmissionDecision,
 } from './stage-admission.ts';
 import type {StageCaller} from './stage-caller.ts';
-import type {StageUpstream} from './stage-upstreams.ts';
+import type {StageUpstream} from './stage-upstream.ts';
 import {
   StageFleet,
   type StageBackOffs,
@@ -47,7 +47,7 @@
   /** Draws from 0 to below 1. */
   readonly random: () => number;
   /** Whether inputs are given back while the calls that have read them still work. */
-  readonly releasesRead: boolean;
+  readonly releasesInputsEarly: boolean;
 }
 
 /** Milliseconds between two plans while jobs wait that nothing else wakes. */
@@ -102,14 +102,14 @@
       jobs: this.jobs,
       fleet: this.fleet,
       times: this.times,
-      inputReads: new InputReads({
+      inputReleaser: new EarlyInputReleaser({
         clock: parts.clock,
         fleet: this.fleet,
         releaseResults,
       }),
       releaseResults,
-      handlePhase: state => this.recordPhase(state),
-      handleEnd: () => this.scheduleCalls(),
+      handlePhaseChange: state => this.recordPhase(state),
+      handleCallEnd: () => this.scheduleCalls(),
     });
   }
 
@@ -119,8 +119,8 @@
   }
 
   /** Notes how long a request took to its first bytes once its stages were done. */
-  recordFirst(requestId: string, firstMs: number): void {
-    this.admission.recordFirst(requestId, firstMs);
+  recordFirstEvent(requestId: string, firstMs: number): void {
+    this.admission.recordFirstEvent(requestId, firstMs);
   }
 
   /** Notes that a request needs no more stages. */
@@ -229,7 +229,7 @@
     if (!capacity) return;
     const shortage = this.fleet.findShortage(service);
     if (shortage !== undefined) {
-      this.jobs.failShort(service, shortage, capacity);
+      this.jobs.failUnservable(service, shortage, capacity);
       return;
     }
     const probe = this.fleet.findDueProbe(service, capacity);
@@ -241,7 +241,7 @@
     }
     const isLoaded = this.hasBatchLeft(service, capacity, batches);
     for (const batch of batches) {
-      void this.runner.runBatch(batch, {capacity, nowMs, isLoaded});
+      void this.runner.runBatch(batch, {capacity, nowMs, hasBacklog: isLoaded});
     }
   }
 
@@ -251,7 +251,7 @@
     free: readonly StageUpstream[],
   ): Batch[] {
     const nowMs = this.parts.clock.getNow();
-    const used = this.fleet.listUsed(service);
+    const used = this.fleet.listActive(service);
     return assembleBatches({
       nowMs,
       capacity,
@@ -265,7 +265,7 @@
       })),
       domainsInUse: new Set(used.map(({record}) => record.failureDomain)),
       upstreamsInUse: used.length,
-      hasUsualUpstream: used.some(
+      hasNormalSpeedUpstream: used.some(
         upstream => upstream.getSlowness(nowMs) < SLOW_FACTOR,
       ),
     });
--- a/packages/stages/src/stage-dispatcher.ts
+++ b/packages/stages/src/stage-dispatcher.ts
@@ -4,8 +4,8 @@
 import {
   chooseCoordinator,
   type Membership,
-  type NoteQueue,
-  type PeerNote,
+  type NotificationQueue,
+  type PeerNotification,
   type PeerLink,
   type PeerRecord,
 } from '@hollowstack/peers';
@@ -24,7 +24,7 @@
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly link: PeerLink;
-  readonly notes: NoteQueue;
+  readonly notes: NotificationQueue;
   readonly membership: Membership;
   /** This instance's own coordinator. */
   readonly local: StageCoordinator;
@@ -95,7 +95,7 @@
     }
     // A coordinator that is gone has forgotten the request as well.
     notes
-      .sendNote(coordinator.address, {type: 'stage-end', requestId})
+      .sendNotification(coordinator.address, {type: 'stage-end', requestId})
       .catch(() => {});
   }
 
@@ -149,9 +149,12 @@
       this.parts.local.releaseResults(results);
       return;
     }
-    const note: PeerNote = {type: 'stage-release', results: [...results]};
+    const note: PeerNotification = {
+      type: 'stage-release',
+      results: [...results],
+    };
     this.parts.notes
-      .sendNote(coordinator.address, note)
+      .sendNotification(coordinator.address, note)
       .catch(() => this.parts.local.releaseResults(results));
   }
 
--- a/packages/stages/src/stage-fleet.ts
+++ b/packages/stages/src/stage-fleet.ts
@@ -1,18 +1,18 @@
 import {DurationEstimator} from '@hollowstack/admission';
 import type {Clock} from '@hollowstack/clock';
 import {
-  findShortage,
-  isTakingWork,
+  findUnavailability,
+  isAcceptingWork,
   type RegisteredUpstream,
-  type Shortage,
+  type Unavailability,
   type StageCapacity,
 } from '@hollowstack/routes';
 import type {OwnedResult, StageResult} from '@hollowstack/types';
 import type {SendLimiter} from '@hollowstack/upstream-limits';
 import type {BackOffTable} from '@hollowstack/upstream-signals';
-import {ResultRoom, type HeldResult} from './result-room.ts';
+import {ResultMemory, type StoredResult} from './result-memory.ts';
 import type {ServiceTimes} from './service-times.ts';
-import {StageUpstream} from './stage-upstreams.ts';
+import {StageUpstream} from './stage-upstream.ts';
 
 /** Results may be larger than their stage says by this factor; seen on played days. */
 const SIZE_MARGIN = 1.05;
@@ -45,7 +45,7 @@
 }
 
 /** A result that a job reads, with the upstream that keeps it. */
-export interface HeldInput {
+export interface StoredInput {
   readonly upstreamId: string;
   readonly result: StageResult;
 }
@@ -64,7 +64,7 @@
   private readonly backOffs: StageBackOffs;
   private readonly limiter: StageLimiter;
   private readonly times: StageFleetParts['times'];
-  private readonly room = new ResultRoom();
+  private readonly room = new ResultMemory();
   private readonly holdTimes: DurationEstimator;
   private readonly upstreams = new Map<string, StageUpstream>();
   private capacities: ReadonlyMap<string, StageCapacity> = new Map();
@@ -116,7 +116,7 @@
    */
   acquireSend(id: string): boolean {
     const upstream = this.upstreams.get(id);
-    if (!upstream || !isTakingWork(upstream.record)) return false;
+    if (!upstream || !isAcceptingWork(upstream.record)) return false;
     if (!this.backOffs.maySend(id) || !this.limiter.acquireCall(id)) {
       return false;
     }
@@ -160,10 +160,12 @@
    * Returns why no upstream of a service can take work; undefined where one can, or
    * where no registrations are known yet.
    */
-  findShortage(service: string): Shortage | undefined {
+  findShortage(service: string): Unavailability | undefined {
     if (this.upstreams.size === 0) return undefined;
     const records = this.listOfService(service).map(({record}) => record);
-    return findShortage(service, records, id => this.backOffs.getWaitMs(id));
+    return findUnavailability(service, records, id =>
+      this.backOffs.getWaitMs(id),
+    );
   }
 
   /**
@@ -192,7 +194,7 @@
   }
 
   /** Lists the upstreams of a service that take calls or are at work on one. */
-  listUsed(service: string): StageUpstream[] {
+  listActive(service: string): StageUpstream[] {
     const nowMs = this.clock.getNow();
     return this.listOfService(service).filter(
       upstream => upstream.isUsable(nowMs) || upstream.callsInFlight > 0,
@@ -200,9 +202,9 @@
   }
 
   /** Returns how slow the middle one of a service's upstreams is. */
-  getUsualSlowness(service: string): number {
+  getMedianSlowness(service: string): number {
     const nowMs = this.clock.getNow();
-    const values = this.listUsed(service)
+    const values = this.listActive(service)
       .map(upstream => upstream.getSlowness(nowMs))
       .sort((left, right) => left - right);
     return values[Math.floor(values.length / 2)] ?? 1;
@@ -238,7 +240,7 @@
     const nowMs = this.clock.getNow();
     const bytes = (this.getCapacity(service)?.resultBytes ?? 0) / SIZE_MARGIN;
     return this.listUsable(service).reduce(
-      (sum, upstream) => sum + bytes - upstream.getUnknownBytes(nowMs),
+      (sum, upstream) => sum + bytes - upstream.getUntrackedBytes(nowMs),
       0,
     );
   }
@@ -247,7 +249,7 @@
   countFreeBytes(upstream: StageUpstream): number {
     const {id, service} = upstream.record;
     const bytes = (this.getCapacity(service)?.resultBytes ?? 0) / SIZE_MARGIN;
-    const unknown = upstream.getUnknownBytes(this.clock.getNow());
+    const unknown = upstream.getUntrackedBytes(this.clock.getNow());
     return bytes - this.getUsedBytes(id) - unknown;
   }
 
@@ -258,7 +260,7 @@
 
   /** Counts the bytes of results that a service holds, calls in progress left out. */
   countHeldBytes(service: string): number {
-    return this.room.countHeldBytes(service);
+    return this.room.countStoredBytes(service);
   }
 
   /** Returns milliseconds for which results of a service are held, as learnt. */
@@ -277,13 +279,13 @@
   }
 
   /** Turns a reservation into a held result. */
-  recordResult(handle: string, result: HeldResult): void {
+  recordResult(handle: string, result: StoredResult): void {
     this.room.recordResult(handle, result);
   }
 
   /** Finds a result by its handle, if a call of this instance made it. */
-  findHeldInput(handle: string): HeldInput | undefined {
-    const upstreamId = this.room.findUpstreamOf(handle);
+  findHeldInput(handle: string): StoredInput | undefined {
+    const upstreamId = this.room.findUpstreamId(handle);
     const record = this.upstreams.get(upstreamId ?? '')?.record;
     if (!record) return undefined;
     const {id, address, failureDomain} = record;
@@ -315,7 +317,7 @@
     for (const handle of handles) {
       const result = this.room.release(handle);
       if (!result) continue;
-      this.holdTimes.recordMs(result.service, nowMs - result.sinceMs);
+      this.holdTimes.recordMs(result.service, nowMs - result.reservedAtMs);
     }
   }
 
--- a/packages/stages/src/stage-upstream.ts
+++ b/packages/stages/src/stage-upstream.ts
@@ -1,5 +1,5 @@
 import {
-  isTakingWork,
+  isAcceptingWork,
   type RegisteredUpstream,
   type StageCapacity,
 } from '@hollowstack/routes';
@@ -46,7 +46,7 @@
   /** Returns whether calls may go there at all. */
   isUsable(nowMs: number): boolean {
     return (
-      isTakingWork(this.record) &&
+      isAcceptingWork(this.record) &&
       this.backOffs.maySend(this.record.id) &&
       isCandidate(this.health, nowMs)
     );
@@ -67,14 +67,14 @@
   }
 
   /** Returns the bytes that results of others take there, as far as was noticed. */
-  getUnknownBytes(nowMs: number): number {
+  getUntrackedBytes(nowMs: number): number {
     return nowMs < this.unknownUntilMs ? this.unknownBytes : 0;
   }
 
   /** Notes that the upstream has less room than was reckoned. */
-  addUnknownBytes(bytes: number, nowMs: number): void {
+  addUntrackedBytes(bytes: number, nowMs: number): void {
     if (bytes <= 0) return;
-    this.unknownBytes = this.getUnknownBytes(nowMs) + bytes;
+    this.unknownBytes = this.getUntrackedBytes(nowMs) + bytes;
     this.unknownUntilMs = nowMs + UNKNOWN_ROOM_MS;
   }
 
--- a/packages/stages/src/test-utils/create-coordinator.ts
+++ b/packages/stages/src/test-utils/create-coordinator.ts
@@ -44,7 +44,7 @@
     backOffs: new BackOffTable({clock, logger}),
     limiter: NO_LIMITS,
     random: getMiddle,
-    releasesRead: true,
+    releasesInputsEarly: true,
   });
   const services = stages.map(({name, ...times}) => ({
     name,
--- a/packages/stand-ins/src/engine-stand-in.ts
+++ b/packages/stand-ins/src/engine-stand-in.ts
@@ -18,7 +18,7 @@
   parseRequestJson,
 } from './handler-stand-in.ts';
 import {LaggingReport} from './lagging-report.ts';
-import {OrderBook, orderSchema} from './order-book.ts';
+import {ModelInventory, orderSchema} from './model-inventory.ts';
 import {PrefixCache} from './prefix-cache.ts';
 import type {WorkRecord} from './work-log.ts';
 
@@ -53,7 +53,7 @@
 
 /** Stands in for a model engine. */
 export class EngineStandIn extends HandlerStandIn {
-  readonly orders: OrderBook;
+  readonly orders: ModelInventory;
   private readonly clock: Clock;
   private readonly options: EngineOptions;
   private readonly batch: Batch;
@@ -70,7 +70,7 @@
       () => this.faults.getSetting().slowFactor,
     );
     this.cache = new PrefixCache(options.cacheBlocks);
-    this.orders = new OrderBook(clock, options);
+    this.orders = new ModelInventory(clock, options);
     this.report = new LaggingReport(clock, options.reportLagMs, () =>
       this.createReport(),
     );
--- a/packages/stand-ins/src/model-inventory.ts
+++ b/packages/stand-ins/src/model-inventory.ts
@@ -17,21 +17,21 @@
 export type OrderVerdict = 'applied' | 'stale-fence';
 
 /** How an engine takes orders. */
-export interface OrderBookOptions {
+export interface ModelInventoryOptions {
   readonly models: readonly string[];
   readonly checksFence: boolean;
   readonly loadMs: number;
 }
 
 /** The models an engine holds, and the orders that changed them. */
-export class OrderBook {
+export class ModelInventory {
   private readonly clock: Clock;
-  private readonly options: OrderBookOptions;
+  private readonly options: ModelInventoryOptions;
   private readonly applied: Order[] = [];
   private models: Set<string>;
   private highestFence = 0;
 
-  constructor(clock: Clock, options: OrderBookOptions) {
+  constructor(clock: Clock, options: ModelInventoryOptions) {
     this.clock = clock;
     this.options = options;
     this.models = new Set(options.models);
--- a/packages/store-relay/src/range-mirror.test.ts
+++ b/packages/store-relay/src/range-mirror.test.ts
@@ -37,24 +37,24 @@
 
 function listKeys(mirror: RangeMirror): string[] | undefined {
   return mirror
-    .createReading()
+    .createRangeResult()
     ?.keyValues.map(({key, modRevision}) => `${key}@${modRevision}`)
     .sort();
 }
 
 test('changes that come before the first reading are kept where they are newer', () => {
   const mirror = createMirror();
-  assert.equal(mirror.createReading(), undefined);
+  assert.equal(mirror.createRangeResult(), undefined);
   assert.equal(mirror.listChanges(0), undefined);
   mirror.applyEvents([createPut('a/1', 4), createPut('a/2', 7)]);
-  mirror.applyReading(createReading(5, {'a/1': 4}));
+  mirror.applyRangeResult(createReading(5, {'a/1': 4}));
   assert.deepEqual(listKeys(mirror), ['a/1@4', 'a/2@7']);
   assert.deepEqual(mirror.listChanges(5), [createPut('a/2', 7)]);
 });
 
 test('changes are told from any revision that is known, once each', () => {
   const mirror = createMirror();
-  mirror.applyReading(createReading(5, {'a/1': 4}));
+  mirror.applyRangeResult(createReading(5, {'a/1': 4}));
   const events = [createPut('a/2', 7), createDelete('a/1', 9)];
   assert.deepEqual(mirror.applyEvents(events), events);
   assert.deepEqual(mirror.applyEvents(events), []);
@@ -67,16 +67,16 @@
 
 test('changes of one transaction share a revision and are all taken', () => {
   const mirror = createMirror();
-  mirror.applyReading(createReading(5, {}));
+  mirror.applyRangeResult(createReading(5, {}));
   mirror.applyEvents([createPut('a/1', 6), createPut('a/2', 6)]);
   assert.deepEqual(listKeys(mirror), ['a/1@6', 'a/2@6']);
 });
 
 test('a newer reading brings what differs, an older one nothing', () => {
   const mirror = createMirror();
-  mirror.applyReading(createReading(5, {'a/1': 3, 'a/2': 4}));
-  assert.deepEqual(mirror.applyReading(createReading(5, {})), []);
-  const news = mirror.applyReading(createReading(9, {'a/2': 8, 'a/3': 7}));
+  mirror.applyRangeResult(createReading(5, {'a/1': 3, 'a/2': 4}));
+  assert.deepEqual(mirror.applyRangeResult(createReading(5, {})), []);
+  const news = mirror.applyRangeResult(createReading(9, {'a/2': 8, 'a/3': 7}));
   assert.deepEqual(news, [
     createPut('a/3', 7),
     createPut('a/2', 8),
@@ -88,7 +88,7 @@
 
 test('what is no longer kept is not told', () => {
   const mirror = createMirror();
-  mirror.applyReading(createReading(1, {}));
+  mirror.applyRangeResult(createReading(1, {}));
   const events = Array.from({length: 1500}, (_, index) =>
     createPut('a/1', index + 2),
   );
--- a/packages/store-relay/src/range-mirror.ts
+++ b/packages/store-relay/src/range-mirror.ts
@@ -31,7 +31,7 @@
   }
 
   /** Returns whether content and changes are known. */
-  isWhole(): boolean {
+  isComplete(): boolean {
     return this.floor !== undefined;
   }
 
@@ -41,8 +41,8 @@
    *
    * @returns The changes that it brings to content that was known.
    */
-  applyReading(reading: RangeResult): readonly WatchEvent[] {
-    if (this.isWhole()) return this.applyNewerReading(reading);
+  applyRangeResult(reading: RangeResult): readonly WatchEvent[] {
+    if (this.isComplete()) return this.applyNewerReading(reading);
     const {storeId, storeRevision, keyValues} = reading;
     this.storeId = storeId;
     this.floor = storeRevision;
@@ -70,13 +70,13 @@
       this.applyEvent(event);
       news.push(event);
     }
-    if (this.isWhole()) this.removeOldEvents();
+    if (this.isComplete()) this.removeOldEvents();
     return news;
   }
 
   /** Returns the content, or undefined while it is not known. */
-  createReading(): RangeResult | undefined {
-    if (!this.isWhole()) return undefined;
+  createRangeResult(): RangeResult | undefined {
+    if (!this.isComplete()) return undefined;
     return {
       storeId: this.storeId,
       storeRevision: this.revision,
--- a/packages/store-relay/src/range-mirrors.ts
+++ b/packages/store-relay/src/range-mirrors.ts
@@ -27,8 +27,8 @@
   }
 
   /** Returns whether content and changes of all ranges are known. */
-  isWhole(): boolean {
-    return [...this.mirrors.values()].every(mirror => mirror.isWhole());
+  isComplete(): boolean {
+    return [...this.mirrors.values()].every(mirror => mirror.isComplete());
   }
 
   /** Takes changes of any range and returns those that are new. */
@@ -41,8 +41,8 @@
   }
 
   /** Takes the reading of a range and returns the changes that it brings. */
-  applyReading(start: string, reading: RangeResult): readonly WatchEvent[] {
-    return this.mirrors.get(start)?.applyReading(reading) ?? [];
+  applyRangeResult(start: string, reading: RangeResult): readonly WatchEvent[] {
+    return this.mirrors.get(start)?.applyRangeResult(reading) ?? [];
   }
 
   /**
@@ -52,7 +52,7 @@
    */
   getOldestRevision(startRevision: number): number {
     const revisions = [...this.mirrors.values()].map(mirror =>
-      mirror.isWhole() ? mirror.getRevision() : startRevision,
+      mirror.isComplete() ? mirror.getRevision() : startRevision,
     );
     return Math.min(...revisions);
   }
--- a/packages/store-relay/src/relay-client.ts
+++ b/packages/store-relay/src/relay-client.ts
@@ -2,7 +2,7 @@
 import type {EventLogger} from '@hollowstack/logger';
 import {
   decodeText,
-  type PackedText,
+  type CompressedText,
   type PeerLink,
   type PeerRecord,
   type PeerReply,
@@ -30,7 +30,7 @@
 }
 
 /** What a source has told. */
-export interface RelayNews {
+export interface RelayUpdate {
   readonly events: readonly WatchEvent[];
   /** Whether the source's watch began after the store was away, and this is news. */
   readonly isAfterOutage: boolean;
@@ -85,8 +85,8 @@
    *
    * @returns Whether there were any.
    */
-  removeAway(): boolean {
-    return this.sources.removeAway();
+  restoreAwaySources(): boolean {
+    return this.sources.restoreAwaySources();
   }
 
   /** Asks the next peer at once, in place of a question that waits for changes. */
@@ -108,7 +108,7 @@
   }
 
   /** Waits for changes at one peer; undefined where it cannot be used. */
-  async askForChanges(source: PeerRecord): Promise<RelayNews | undefined> {
+  async askForChanges(source: PeerRecord): Promise<RelayUpdate | undefined> {
     const {clock, mirrors, followWithinMs} = this.parts;
     const waitMs = this.isRefreshDue ? 0 : followWithinMs * POLL_SHARE;
     this.isRefreshDue = false;
@@ -158,7 +158,7 @@
     if (reply?.type !== 'relay-ranges') return undefined;
     const events = reply.ranges.flatMap(
       ({start, keyValues, storeId, storeRevision}) =>
-        this.parts.mirrors.applyReading(start, {
+        this.parts.mirrors.applyRangeResult(start, {
           storeId,
           storeRevision,
           keyValues: decodeValues(keyValues),
@@ -225,7 +225,7 @@
   });
 }
 
-function decodeValues<T extends {readonly value: PackedText}>(
+function decodeValues<T extends {readonly value: CompressedText}>(
   items: readonly T[],
 ): Array<Omit<T, 'value'> & {value: string}> {
   return items.map(item => ({...item, value: decodeText(item.value)}));
--- a/packages/store-relay/src/relay-role.ts
+++ b/packages/store-relay/src/relay-role.ts
@@ -42,7 +42,10 @@
    *
    * @returns Ends the looks.
    */
-  beginCheck(untilMs: number | undefined, handleEnd: () => void): () => void {
+  watchForRoleEnd(
+    untilMs: number | undefined,
+    handleEnd: () => void,
+  ): () => void {
     const {clock} = this.parts;
     let wasNeeded = true;
     const check = () => {
--- a/packages/store-relay/src/relay-server.ts
+++ b/packages/store-relay/src/relay-server.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '@hollowstack/clock';
 import {
-  TextPacker,
-  type PackedText,
+  TextCompressor,
+  type CompressedText,
   type PeerReply,
   type PeerRequest,
 } from '@hollowstack/peers';
@@ -20,7 +20,7 @@
 /** Tells peers of the store's changes while this instance watches it. */
 export class RelayServer {
   private readonly parts: RelayServerParts;
-  private readonly packer = new TextPacker();
+  private readonly packer = new TextCompressor();
 
   constructor(parts: RelayServerParts) {
     this.parts = parts;
@@ -49,7 +49,7 @@
     if (store.getState() !== 'watching') return this.createUnavailable();
     const nowMs = clock.getNow();
     const ranges = starts.flatMap(start => {
-      const reading = store.createReading(start);
+      const reading = store.createRangeResult(start);
       if (!reading) return [];
       const keyValues = this.encodeValues(reading.keyValues, packed);
       const knownUntilOffsetMs = this.computeOffsetMs(start, nowMs);
@@ -91,7 +91,7 @@
   private encodeValues<T extends {readonly value: string}>(
     items: readonly T[],
     isPacked: boolean,
-  ): Array<Omit<T, 'value'> & {value: PackedText}> {
+  ): Array<Omit<T, 'value'> & {value: CompressedText}> {
     return items.map(item => ({
       ...item,
       value: this.packer.encodeText(item.value, isPacked),
--- a/packages/store-relay/src/relay-sources.ts
+++ b/packages/store-relay/src/relay-sources.ts
@@ -48,7 +48,7 @@
    *
    * @returns Whether there were any.
    */
-  removeAway(): boolean {
+  restoreAwaySources(): boolean {
     const away = [...this.failed].filter(([, {failure}]) => failure === 'away');
     for (const [id] of away) this.failed.delete(id);
     return away.length > 0;
--- a/packages/store-relay/src/relayed-store.ts
+++ b/packages/store-relay/src/relayed-store.ts
@@ -111,7 +111,7 @@
   /** Returns whether peers can be told of changes. */
   getState(): RelayState {
     if (this.state !== 'watching') return this.state;
-    return this.mirrors.isWhole() ? 'watching' : 'away';
+    return this.mirrors.isComplete() ? 'watching' : 'away';
   }
 
   override isAfterOutage(): boolean {
@@ -144,13 +144,13 @@
   }
 
   /** Returns the content of a range, by its first key, where it is known. */
-  createReading(start: string): RangeResult | undefined {
-    return this.mirrors.findMirror(start)?.createReading();
+  createRangeResult(start: string): RangeResult | undefined {
+    return this.mirrors.findMirror(start)?.createRangeResult();
   }
 
   /** Returns until when every change of a range is known, by its first key. */
   getKnownUntilMs(start: string): number | undefined {
-    const isWhole = this.mirrors.findMirror(start)?.isWhole() === true;
+    const isWhole = this.mirrors.findMirror(start)?.isComplete() === true;
     return isWhole ? this.knownUntilMs.get(start) : undefined;
   }
 
@@ -171,7 +171,7 @@
       return this.parts.store.readRange(range, minModRevision);
     }
     const known =
-      this.createReading(range.start) ?? (await this.readFollowed(range));
+      this.createRangeResult(range.start) ?? (await this.readFollowed(range));
     const keyValues = known.keyValues.filter(
       ({modRevision}) => modRevision >= minModRevision,
     );
@@ -227,7 +227,7 @@
     const early = await this.readFromPeers();
     if (early) return early;
     const list = await store.readRange(memberRange);
-    this.mirrors.applyReading(memberRange.start, list);
+    this.mirrors.applyRangeResult(memberRange.start, list);
     await getMembers().refresh();
     this.startRevision = list.storeRevision;
     this.generation += 1;
@@ -260,7 +260,7 @@
     const {clock, store, memberRange} = this.parts;
     await waitFor(clock, SETTLE_MS, signal);
     const list = await store.readRange(memberRange);
-    const news = this.mirrors.applyReading(memberRange.start, list);
+    const news = this.mirrors.applyRangeResult(memberRange.start, list);
     if (news.length > 0) yield news;
   }
 
@@ -271,7 +271,7 @@
     const {store} = this.parts;
     const ending = new AbortController();
     const either = AbortSignal.any([signal, ending.signal]);
-    const endCheck = this.role.beginCheck(untilMs, () => ending.abort());
+    const endCheck = this.role.watchForRoleEnd(untilMs, () => ending.abort());
     this.setFeed('store');
     this.state = 'watching';
     try {
@@ -311,7 +311,7 @@
         for (const each of news.progress) this.recordProgress(each);
         continue;
       }
-      const isAway = this.client.removeAway();
+      const isAway = this.client.restoreAwaySources();
       if (isAway && clock.getNow() - heardAtMs < followWithinMs) {
         await waitFor(clock, AWAY_PAUSE_MS, signal);
         continue;
@@ -370,7 +370,7 @@
     if (generation !== this.generation) return this.readRange(range);
     this.applyFirstReading(range.start, reading);
     this.recordProgress({start: range.start, knownUntilMs: sentAtMs});
-    return this.createReading(range.start) ?? reading;
+    return this.createRangeResult(range.start) ?? reading;
   }
 
   private applyFirstReading(start: string, reading: RangeResult): void {
@@ -379,7 +379,7 @@
     if (storeRevision < this.startRevision) {
       throw new StoreError('the reading is older than the watch', 'none');
     }
-    this.mirrors.applyReading(start, {...reading, storeRevision});
+    this.mirrors.applyRangeResult(start, {...reading, storeRevision});
   }
 
   private logReading(
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -16,7 +16,7 @@
   type Transaction,
   type TransactionResult,
   type WatchEvent,
-  type WatchPace,
+  type WatchTiming,
   type WatchProgress,
 } from './key-value-store.ts';
 export {GatewayStore, type GatewayStoreOptions} from './gateway-store.ts';
--- a/packages/store/src/key-value-store.ts
+++ b/packages/store/src/key-value-store.ts
@@ -15,17 +15,17 @@
   readonly start: string;
   /** First key behind the range; absent for the one key `start`. */
   readonly end?: string;
-  readonly watchPace?: WatchPace;
+  readonly watchTiming?: WatchTiming;
 }
 
 /** How a range is watched where a watch is a call that ends with its changes. */
-export interface WatchPace {
+export interface WatchTiming {
   /** Longest milliseconds of one call without a change. */
   readonly waitMs: number;
   /** Milliseconds after a change before the next call, so that it brings several. */
-  readonly gatherMs: number;
+  readonly batchDelayMs: number;
   /** Milliseconds beyond the wait after which a call counts as unanswered, at least. */
-  readonly marginMs: number;
+  readonly timeoutMarginMs: number;
   /**
    * Milliseconds within which an answer should confirm what is known; after changes that came
    * late in a call the next one waits for less. Absent where that does not matter.
--- a/packages/store/src/polled-watch.test.ts
+++ b/packages/store/src/polled-watch.test.ts
@@ -15,11 +15,11 @@
 const LATENCY_MS = 4;
 const HEARTBEAT: KeyRange = {
   ...createPrefixRange('fast/'),
-  watchPace: {waitMs: 1000, gatherMs: 0, marginMs: MARGIN_MS},
+  watchTiming: {waitMs: 1000, batchDelayMs: 0, timeoutMarginMs: MARGIN_MS},
 };
 const SLOW: KeyRange = {
   ...createPrefixRange('slow/'),
-  watchPace: {waitMs: 12_000, gatherMs: 0, marginMs: MARGIN_MS},
+  watchTiming: {waitMs: 12_000, batchDelayMs: 0, timeoutMarginMs: MARGIN_MS},
 };
 
 /** A store whose calls can hang on connections that have fallen silent. */
@@ -209,10 +209,10 @@
   const {clock, store, progress} = startWatch(t, [
     {
       ...HEARTBEAT,
-      watchPace: {
+      watchTiming: {
         waitMs: 1000,
-        gatherMs: 600,
-        marginMs: MARGIN_MS,
+        batchDelayMs: 600,
+        timeoutMarginMs: MARGIN_MS,
         confirmWithinMs,
       },
     },
@@ -232,7 +232,11 @@
   const {clock, store, watch, keys, progress} = startWatch(t, [
     {
       ...HEARTBEAT,
-      watchPace: {waitMs: 1000, gatherMs: 600, marginMs: MARGIN_MS},
+      watchTiming: {
+        waitMs: 1000,
+        batchDelayMs: 600,
+        timeoutMarginMs: MARGIN_MS,
+      },
     },
   ]);
   await clock.advance(200);
--- a/packages/store/src/polled-watch.ts
+++ b/packages/store/src/polled-watch.ts
@@ -5,7 +5,7 @@
   StoreRefusalError,
   type KeyRange,
   type WatchEvent,
-  type WatchPace,
+  type WatchTiming,
   type WatchProgress,
 } from './key-value-store.ts';
 
@@ -41,7 +41,11 @@
 }
 
 /** For ranges without a pace of their own. */
-const DEFAULT_PACE: WatchPace = {waitMs: 8000, gatherMs: 0, marginMs: 1000};
+const DEFAULT_PACE: WatchTiming = {
+  waitMs: 8000,
+  batchDelayMs: 0,
+  timeoutMarginMs: 1000,
+};
 /**
  * Times the lateness of the last empty answer that the next one may take: a
  * store that turns slow must not be taken for a silent connection.
@@ -160,18 +164,18 @@
     signal: AbortSignal,
     queue: AsyncQueue<WatchItem>,
   ): Promise<void> {
-    const pace = range.watchPace ?? DEFAULT_PACE;
+    const pace = range.watchTiming ?? DEFAULT_PACE;
     let sinceRevision = startRevision;
     let unansweredCount = 0;
     let purpose: CallPurpose = 'probe';
     let knownUntilMs = this.parts.clock.getNow();
     for (;;) {
       signal.throwIfAborted();
-      const {marginMs} = pace;
+      const {timeoutMarginMs} = pace;
       const ageMs = this.parts.clock.getNow() - knownUntilMs;
       const waitMs = computeWaitMs(pace, purpose, ageMs);
       const call = {range, sinceRevision, waitMs, signal};
-      const answered = this.attemptCall(call, purpose, marginMs);
+      const answered = this.attemptCall(call, purpose, timeoutMarginMs);
       const answer = await answered.catch(error => {
         purpose = error instanceof RefreshError ? 'refresh' : 'probe';
         if (error instanceof ReplacedCallError) return undefined;
@@ -195,14 +199,16 @@
 
   // Resolves to whether a refresh has ended the wait.
   private async waitToGather(
-    {gatherMs}: WatchPace,
+    {batchDelayMs}: WatchTiming,
     signal: AbortSignal,
   ): Promise<boolean> {
-    if (gatherMs <= 0) return false;
+    if (batchDelayMs <= 0) return false;
     const {clock} = this.parts;
     const refreshed = this.gathering.signal;
     const either = AbortSignal.any([signal, refreshed]);
-    await waitFor(clock, gatherMs, either).catch(() => signal.throwIfAborted());
+    await waitFor(clock, batchDelayMs, either).catch(() =>
+      signal.throwIfAborted(),
+    );
     return refreshed.aborted;
   }
 
@@ -276,7 +282,7 @@
 }
 
 function computeWaitMs(
-  {waitMs, confirmWithinMs = Infinity}: WatchPace,
+  {waitMs, confirmWithinMs = Infinity}: WatchTiming,
   purpose: CallPurpose,
   ageMs: number,
 ): number {
--- a/packages/store/src/store-identity.ts
+++ b/packages/store/src/store-identity.ts
@@ -37,7 +37,7 @@
   }
 
   /** Takes the present store for the known one; an operator's decision. */
-  async applyStore(storeId: string): Promise<void> {
+  async acceptStore(storeId: string): Promise<void> {
     await this.store.runTransaction({
       comparisons: [],
       onSuccess: [{type: 'put', key: STORE_IDENTITY_KEY, value: storeId}],
--- a/packages/transport/src/index.ts
+++ b/packages/transport/src/index.ts
@@ -20,7 +20,7 @@
   type HttpServerLimits,
 } from './node-http-server.ts';
 export {
-  LateAnswerError,
+  AnswerTimeoutError,
   SingleCall,
   callForWholeAnswer,
   isConnectionLost,
--- a/packages/transport/src/single-call.test.ts
+++ b/packages/transport/src/single-call.test.ts
@@ -50,7 +50,7 @@
   const {address, getReceived} = await startServer(t);
   const call = createCall(address, () => false);
   await assert.rejects(call.response, {progress: 'none'});
-  assert.equal(call.mayHaveLeft(), false);
+  assert.equal(call.mayHaveBeenSent(), false);
   await waitMs(50);
   assert.equal(getReceived(), '');
 });
--- a/packages/transport/src/single-call.ts
+++ b/packages/transport/src/single-call.ts
@@ -87,7 +87,7 @@
   }
 
   /** Returns whether a byte of the request may have left. */
-  mayHaveLeft(): boolean {
+  mayHaveBeenSent(): boolean {
     return this.progress !== 'none';
   }
 
@@ -170,7 +170,7 @@
 }
 
 /** A call brought no whole answer in its time. */
-export class LateAnswerError extends TransportError {
+export class AnswerTimeoutError extends TransportError {
   constructor(progress: SendProgress) {
     super('no answer in time', progress);
     this.name = 'LateAnswerError';
@@ -202,7 +202,7 @@
     return {head, body};
   } catch (error) {
     if (!isLate) throw error;
-    throw new LateAnswerError(call.mayHaveLeft() ? 'some' : 'none');
+    throw new AnswerTimeoutError(call.mayHaveBeenSent() ? 'some' : 'none');
   } finally {
     timer.cancel();
     limits.signal?.removeEventListener('abort', cancelCall);
--- a/packages/types/src/index.ts
+++ b/packages/types/src/index.ts
@@ -42,10 +42,10 @@
 export {decisionSchema, type Decision} from './decision.ts';
 export {
   callOutcomeSchema,
-  keptAnswerSchema,
+  storedAnswerSchema,
   type CallOutcome,
-  type KeptAnswer,
-} from './outcome.ts';
+  type StoredAnswer,
+} from './call-outcome.ts';
 export {addressSchema, splitAddress} from './address.ts';
 export {
   STAGE_FAILURES,
@@ -82,4 +82,4 @@
   grantRequestSchema,
   type GrantDecision,
   type GrantRequest,
-} from './limit-send.ts';
+} from './send-grant.ts';
--- a/packages/upstream-limits/src/limit-table.test.ts
+++ b/packages/upstream-limits/src/limit-table.test.ts
@@ -38,7 +38,7 @@
   const peer = new LimitTable({clock, logger: new SilentLogger()});
   const sendReports = () => peer.applyReports(table.listReports(), 'peer p');
   let newsCount = 0;
-  peer.addNewsListener(() => newsCount++);
+  peer.addChangeListener(() => newsCount++);
   table.recordLimit(createAnswer(), 2);
   sendReports();
   sendReports();
@@ -73,7 +73,7 @@
     await clock.advance(100);
     const startedAtMs = clock.getNow();
     if (isObservedAfterRestart) table.recordLimit(createAnswer(), 2);
-    table.replaceLife('u1', 'u1@2', startedAtMs);
+    table.replaceIncarnation('u1', 'u1@2', startedAtMs);
     assert.equal(table.getLimit('u1'), undefined);
     assert.equal(
       table.getLimit('u1@2'),
--- a/packages/upstream-limits/src/limit-table.ts
+++ b/packages/upstream-limits/src/limit-table.ts
@@ -50,7 +50,7 @@
   }
 
   /** Adds a listener that is called when a limit is set, changes or ends. */
-  addNewsListener(listener: () => void): void {
+  addChangeListener(listener: () => void): void {
     this.newsListeners.push(listener);
   }
 
@@ -126,7 +126,7 @@
    *
    * @param startedAtMs When the new life began, in Unix milliseconds.
    */
-  replaceLife(before: string, after: string, startedAtMs: number): void {
+  replaceIncarnation(before: string, after: string, startedAtMs: number): void {
     const known = this.limits.get(before);
     if (!known) return;
     this.limits.delete(before);
--- a/packages/upstream-signals/src/answer-signals.ts
+++ b/packages/upstream-signals/src/answer-signals.ts
@@ -15,7 +15,7 @@
 /** What an answer tells of an upstream beside what was asked. */
 export interface AnswerSignals {
   /** Whether another upstream gave the answer than the one that was called. */
-  readonly isFromOther: boolean;
+  readonly isFromOtherUpstream: boolean;
   /** Whether the upstream says that it leaves. */
   readonly isLeaving: boolean;
   /**
--- a/packages/upstream-signals/src/back-off-table.ts
+++ b/packages/upstream-signals/src/back-off-table.ts
@@ -38,7 +38,7 @@
    *
    * @param forMs Milliseconds from now.
    */
-  begin(id: string, forMs: number): void {
+  beginBackOff(id: string, forMs: number): void {
     const {clock, logger} = this.parts;
     const nowMs = clock.getNow();
     const row = this.rows.get(id);
@@ -57,11 +57,11 @@
    *
    * @param startedAtMs When the new life began, in Unix milliseconds.
    */
-  replaceLife(before: string, after: string, startedAtMs: number): void {
+  replaceIncarnation(before: string, after: string, startedAtMs: number): void {
     const row = this.rows.get(before);
     const waitMs = this.getWaitMs(before);
     if (row && waitMs > 0 && row.askedAtMs >= startedAtMs) {
-      this.begin(after, waitMs);
+      this.beginBackOff(after, waitMs);
     }
   }
 
@@ -89,7 +89,7 @@
   }
 
   /** Counts the upstreams that want no work now. */
-  countWaiting(): number {
+  countBackingOff(): number {
     return [...this.rows.keys()].filter(id => this.getWaitMs(id) > 0).length;
   }
 
--- a/packages/upstream-signals/src/upstream-signals.test.ts
+++ b/packages/upstream-signals/src/upstream-signals.test.ts
@@ -31,7 +31,7 @@
     const retryAfter = headers['retry-after'];
     const {limit} = headers;
     return {
-      isFromOther: headers['from-other'] !== undefined,
+      isFromOtherUpstream: headers['from-other'] !== undefined,
       isLeaving: headers.leaving !== undefined,
       retryAfter: typeof retryAfter === 'string' ? retryAfter : undefined,
       limit: typeof limit === 'string' ? limit : undefined,
@@ -85,7 +85,7 @@
   assert.equal(backOffs.maySend('u1'), false);
   assert.equal(backOffs.maySend('u2'), true);
   assert.equal(backOffs.getWaitMs('u1'), 1500);
-  assert.equal(backOffs.countWaiting(), 1);
+  assert.equal(backOffs.countBackingOff(), 1);
   assert.deepEqual(logger.lines, [
     [
       'upstream.back-off',
@@ -101,7 +101,7 @@
   ]);
   await clock.advance(1500);
   assert.equal(backOffs.maySend('u1'), true);
-  assert.equal(backOffs.countWaiting(), 0);
+  assert.equal(backOffs.countBackingOff(), 0);
   assert.deepEqual(listNames(), [
     'upstream.back-off',
     'upstream.back-off-ended',
@@ -147,7 +147,7 @@
     await clock.advance(100);
     const startedAtMs = clock.getNow();
     if (isLater) answer({'retry-after': '3'});
-    backOffs.replaceLife('u1', 'u1@2', startedAtMs);
+    backOffs.replaceIncarnation('u1', 'u1@2', startedAtMs);
     assert.equal(backOffs.getWaitMs('u1@2'), isLater ? 3000 : 0);
   }
 });
--- a/packages/upstream-signals/src/upstream-signals.ts
+++ b/packages/upstream-signals/src/upstream-signals.ts
@@ -10,7 +10,7 @@
   readonly logger: EventLogger;
   readonly metrics: MetricsRegistry;
   readonly protocol: SignalProtocol;
-  readonly backOffs: Pick<BackOffTable, 'begin' | 'getWaitMs'>;
+  readonly backOffs: Pick<BackOffTable, 'beginBackOff' | 'getWaitMs'>;
   readonly limits: Pick<LimitTable, 'recordLimit' | 'recordNoLimit'>;
   /** Called whenever an upstream says that it leaves. */
   readonly handleLeaving: (upstreamId: string, requestId?: string) => void;
@@ -46,7 +46,7 @@
     const {protocol, handleLeaving} = this.parts;
     const {upstream, head, requestId} = answer;
     const signals = protocol.readSignals(head, upstream.id);
-    if (signals.isFromOther) return;
+    if (signals.isFromOtherUpstream) return;
     if (signals.isLeaving) {
       this.countSignal(answer, 'leaving');
       handleLeaving(upstream.id, requestId);
@@ -85,7 +85,7 @@
     const {upstream, head, requestId} = answer;
     this.countSignal(answer, 'back-off');
     const isKnown = backOffs.getWaitMs(upstream.id) > 0;
-    backOffs.begin(upstream.id, Math.min(askedMs, MAX_BACK_OFF_MS));
+    backOffs.beginBackOff(upstream.id, Math.min(askedMs, MAX_BACK_OFF_MS));
     // What was under way as the first answer came brings the same word again.
     if (isKnown) return;
     logger.logEvent('upstream.back-off', {
