--- a/scripts/proofs.ts
+++ b/scripts/proofs.ts
@@ -128,7 +128,7 @@
   {
     promise: 'a routed request that may run once runs at most once',
     mechanism: 'what may have left is not sent a second time',
-    file: 'packages/gateway/src/request-runner.ts',
+    file: 'packages/gateway/src/attempt-runner.ts',
     from: 'if (!isRepeatable(route) || outcome.isOwnEnd) return false;',
     to: '',
     noticedBy: 'platform/src/whole-path.test.ts',
@@ -169,7 +169,7 @@
     promise: 'a leaving upstream gets no new work',
     mechanism: 'an upstream that was leaving never comes back under its id',
     file: 'packages/gateway/src/upstream-registry.ts',
-    from: 'const isLeaving = parsed.isLeaving || this.leftIds.has(parsed.id);',
+    from: 'const isLeaving = parsed.isLeaving || this.leavingIds.has(parsed.id);',
     to: 'const isLeaving = parsed.isLeaving;',
     noticedBy: 'platform/src/whole-path.test.ts',
   },
@@ -224,8 +224,8 @@
   {
     promise: 'a leaving upstream gets no new work',
     mechanism: 'a request does not go back to its only upstream that leaves',
-    file: 'packages/gateway/src/request-runner.ts',
-    from: 'if (!upstream || pool.isTakingWork(upstream.id)) return upstream;',
+    file: 'packages/gateway/src/attempt-runner.ts',
+    from: 'if (!upstream || pool.maySend(upstream.id)) return upstream;',
     to: 'return upstream;',
     noticedBy: 'platform/src/leaving-upstream.test.ts',
   },
--- a/scripts/prove-proofs.ts
+++ b/scripts/prove-proofs.ts
@@ -12,6 +12,7 @@
 import {availableParallelism, tmpdir} from 'node:os';
 import {join} from 'node:path';
 import {fileURLToPath} from 'node:url';
+import {formatCollapsed} from './collapsed-source.ts';
 import {PROOFS, type Proof} from './proofs.ts';
 
 // Switches each mechanism off in a scratch copy and shows that the fuzzer
@@ -84,6 +85,7 @@
   return scratch;
 }
 
+// Line breaks are the formatter's; a change is found wherever it puts them.
 function applyChange(scratch: string, {file, from, to}: Proof): void {
   const path = join(scratch, file);
   const before = readFileSync(path, 'utf8');
@@ -94,17 +96,6 @@
   writeFileSync(path, collapsed.replace(formatCollapsed(from), to));
 }
 
-// Line breaks are the formatter's; a change is found wherever it puts them.
-function formatCollapsed(text: string): string {
-  return text
-    .split('\n')
-    .map(line => line.replace(/^\s*\/\/.*$/, ''))
-    .join('\n')
-    .replace(/\(\s+/g, '(')
-    .replace(/,?\s+\)/g, ')')
-    .replace(/\s+/g, ' ');
-}
-
 function runNoticing(
   scratch: string,
   noticedBy: number | string,
--- a/scripts/run-tests.ts
+++ b/scripts/run-tests.ts
@@ -8,6 +8,7 @@
   'packages/*/src/**/*.test.ts',
   'platform/src/**/*.test.ts',
   'examples/**/*.test.ts',
+  'scripts/**/*.test.ts',
 ];
 
 /** Lists the names of tests that are known to fail; each line is "name | cause | issue". */
