--- a/packages/freshness/src/freshness-guard.test.ts
+++ b/packages/freshness/src/freshness-guard.test.ts
@@ -18,7 +18,7 @@
   }
 }
 
-class TestWay extends ViewRefresher {
+class TestRefresher extends ViewRefresher {
   count = 0;
   reach: PeerReach = 'none';
   isConfirming = false;
@@ -48,16 +48,16 @@
   const clock = new ManualClock();
   const logger = new ListingLogger();
   const table = new FreshnessTable({clock, maxAgeMs: LIMIT_MS});
-  const way = new TestWay(clock, table);
+  const refresher = new TestRefresher(clock, table);
   const guard = new FreshnessGuard({
     clock,
     logger,
     metrics: new MetricsRegistry(),
     table,
-    refreshers: [way],
+    refreshers: [refresher],
   });
   recordAll(table, clock.getNow());
-  return {clock, logger, table, way, guard};
+  return {clock, logger, table, refresher, guard};
 }
 
 /** Returns how long a refresh takes where it is due, and undefined where it is not. */
@@ -73,37 +73,40 @@
 
 test('a fresh view asks nobody', async () => {
   const setup = createGuard();
-  const {clock, guard, way} = setup;
+  const {clock, guard, refresher} = setup;
   await clock.advance(LIMIT_MS);
   assert.equal(await measureRefresh(setup), undefined);
   assert.equal(await guard.mayRefuseUnknown(), true);
-  assert.equal(way.count, 0);
+  assert.equal(refresher.count, 0);
 });
 
 test('a stale view is refreshed once for all that wait, and each is decided by the fresh one', async () => {
   const setup = createGuard();
-  const {clock, guard, way, logger} = setup;
-  way.isConfirming = true;
+  const {clock, guard, refresher, logger} = setup;
+  refresher.isConfirming = true;
   await clock.advance(LIMIT_MS + 1);
   const refusals = [guard.mayRefuseUnknown(), guard.mayRefuseUnknown()];
   assert.equal(await measureRefresh(setup), ANSWER_MS);
   assert.deepEqual(await Promise.all(refusals), [true, true]);
-  assert.equal(way.count, 1);
+  assert.equal(refresher.count, 1);
   assert.equal(guard.isStale(), false);
   assert.deepEqual(logger.names, ['view.stale', 'view.fresh']);
 });
 
 test('after a refresh that failed decisions go on without waiting while others are tried', async () => {
   const setup = createGuard();
-  const {clock, guard, way, logger} = setup;
+  const {clock, guard, refresher, logger} = setup;
   await clock.advance(LIMIT_MS + 1);
   assert.equal(await measureRefresh(setup), 200);
   for (let step = 0; step < 40; step++) {
     assert.equal(await measureRefresh(setup), undefined);
     await clock.advance(100);
   }
-  assert.ok(way.count >= 6 && way.count <= 9, `${way.count} refreshes`);
-  way.isConfirming = true;
+  assert.ok(
+    refresher.count >= 6 && refresher.count <= 9,
+    `${refresher.count} refreshes`,
+  );
+  refresher.isConfirming = true;
   await clock.advance(600);
   guard.isRefreshDue();
   await clock.advance(100);
@@ -117,24 +120,24 @@
 
 test('a decision that comes seldom does not wait either, and nothing goes on after a stop', async () => {
   const setup = createGuard();
-  const {clock, guard, way} = setup;
+  const {clock, guard, refresher} = setup;
   await clock.advance(LIMIT_MS + 1);
   assert.equal(await measureRefresh(setup), 200);
   await clock.advance(5000);
   assert.equal(await measureRefresh(setup), undefined);
   guard.stop();
-  const {count} = way;
+  const {count} = refresher;
   await clock.advance(5000);
-  assert.equal(way.count, count);
+  assert.equal(refresher.count, count);
 });
 
 test('a decision waits again after a pause, in which no refresh was tried', async () => {
   const setup = createGuard();
-  const {clock, way} = setup;
+  const {clock, refresher} = setup;
   await clock.advance(LIMIT_MS + 1);
   assert.equal(await measureRefresh(setup), 200);
   clock.pause(5000);
-  way.isConfirming = true;
+  refresher.isConfirming = true;
   assert.equal(await measureRefresh(setup), ANSWER_MS);
 });
 
@@ -145,8 +148,8 @@
     ['far', true],
   ];
   for (const [reach, mayRefuse] of expected) {
-    const {clock, guard, way} = createGuard();
-    way.reach = reach;
+    const {clock, guard, refresher} = createGuard();
+    refresher.reach = reach;
     await clock.advance(LIMIT_MS + 1);
     const asked = guard.mayRefuseUnknown();
     assert.equal(await clock.advanceUntil(asked, 1000), mayRefuse, reach);
--- a/packages/freshness/src/freshness-guard.ts
+++ b/packages/freshness/src/freshness-guard.ts
@@ -15,16 +15,16 @@
 }
 
 /** Longest milliseconds of a refresh: some answers of a slow peer, a part of any deadline. */
-const REFRESH_LIMIT_MS = 200;
+const REFRESH_TIMEOUT_MS = 200;
 /** Milliseconds from the beginning of a refresh that failed to the next one on demand. */
-const REFRESH_EVERY_MS = 500;
+const MIN_INTERVAL_MS = 500;
 /** Milliseconds to the next one that nobody asks for. */
-const RETRY_MS = 1000;
+const RETRY_DELAY_MS = 1000;
 /**
  * Milliseconds after a refresh that failed in which decisions go on without waiting for
  * another one. After longer, the process may have stood still.
  */
-const FAILURE_HOLDS_MS = 1500;
+const FAILURE_TTL_MS = 1500;
 
 /** What a refresh that did not make the view fresh has shown. */
 interface FailedRefresh {
@@ -36,10 +36,10 @@
 /** Has the view of the store refreshed before something is decided by a stale one. */
 export class FreshnessGuard {
   private readonly parts: FreshnessGuardParts;
-  private running: Promise<void> | undefined;
-  private failed: FailedRefresh | undefined;
-  private staleAtMs: number | undefined;
-  private retry: Timer | undefined;
+  private runningRefresh: Promise<void> | undefined;
+  private lastFailure: FailedRefresh | undefined;
+  private staleSinceMs: number | undefined;
+  private retryTimer: Timer | undefined;
   private isStopped = false;
 
   constructor(parts: FreshnessGuardParts) {
@@ -53,10 +53,10 @@
   /** Returns whether a decision by what is known should wait for a refresh. */
   isRefreshDue(): boolean {
     if (!this.isStale()) return false;
-    const {failed} = this;
-    if (!failed) return true;
-    const sinceMs = this.parts.clock.getNow() - failed.endedAtMs;
-    if (sinceMs >= FAILURE_HOLDS_MS) return true;
+    const {lastFailure} = this;
+    if (!lastFailure) return true;
+    const sinceMs = this.parts.clock.getNow() - lastFailure.endedAtMs;
+    if (sinceMs >= FAILURE_TTL_MS) return true;
     this.startDueRefresh();
     return false;
   }
@@ -65,7 +65,7 @@
   async refresh(): Promise<void> {
     if (!this.isStale()) return;
     this.startDueRefresh();
-    await this.running;
+    await this.runningRefresh;
   }
 
   /**
@@ -74,22 +74,22 @@
    */
   async mayRefuseUnknown(): Promise<boolean> {
     await this.refresh();
-    return !this.isStale() || this.failed?.reach === 'far';
+    return !this.isStale() || this.lastFailure?.reach === 'far';
   }
 
   /** Refreshes nothing any more, so that no timer keeps a process that stops. */
   stop(): void {
     this.isStopped = true;
-    this.retry?.cancel();
+    this.retryTimer?.cancel();
   }
 
   private startDueRefresh(): void {
-    if (this.running || this.isStopped) return;
+    if (this.runningRefresh || this.isStopped) return;
     const nowMs = this.parts.clock.getNow();
-    const {failed} = this;
-    if (failed && nowMs - failed.beganAtMs < REFRESH_EVERY_MS) return;
-    this.running = this.runRefresh(nowMs).finally(() => {
-      this.running = undefined;
+    const {lastFailure} = this;
+    if (lastFailure && nowMs - lastFailure.beganAtMs < MIN_INTERVAL_MS) return;
+    this.runningRefresh = this.runRefresh(nowMs).finally(() => {
+      this.runningRefresh = undefined;
     });
   }
 
@@ -97,16 +97,16 @@
     const {clock, table, refreshers, metrics} = this.parts;
     this.recordStale(beganAtMs);
     let reach: PeerReach = 'none';
-    const asked = refreshers.map(async way => {
-      reach = chooseFarther(reach, await way.refresh());
+    const refreshes = refreshers.map(async refresher => {
+      reach = chooseFarther(reach, await refresher.refresh());
     });
-    void Promise.all(asked);
-    const ending = new AbortController();
+    void Promise.all(refreshes);
+    const timeout = new AbortController();
     await Promise.race([
       table.waitUntilFresh(),
-      waitFor(clock, REFRESH_LIMIT_MS, ending.signal).catch(() => {}),
+      waitFor(clock, REFRESH_TIMEOUT_MS, timeout.signal).catch(() => {}),
     ]);
-    ending.abort(new Error('the refresh is over'));
+    timeout.abort(new Error('the refresh is over'));
     const outcome = table.isStale() ? 'failed' : 'fresh';
     metrics.addToCounter('hollowstack_view_refreshes_total', {outcome});
     if (outcome === 'fresh') return;
@@ -116,37 +116,37 @@
 
   // A decision that comes now and then need not wait for a refresh of its own.
   private scheduleRetry(): void {
-    this.retry?.cancel();
+    this.retryTimer?.cancel();
     if (this.isStopped) return;
-    this.retry = this.parts.clock.schedule(RETRY_MS, () => {
+    this.retryTimer = this.parts.clock.schedule(RETRY_DELAY_MS, () => {
       if (this.isStale()) this.startDueRefresh();
     });
   }
 
   private recordStale(nowMs: number): void {
-    if (this.staleAtMs !== undefined) return;
-    this.staleAtMs = nowMs;
+    if (this.staleSinceMs !== undefined) return;
+    this.staleSinceMs = nowMs;
     const {logger, table} = this.parts;
     logger.logEvent('view.stale', {...table.getState()});
     void table.waitUntilFresh().then(() => this.recordFresh(nowMs));
   }
 
-  private recordFresh(staleAtMs: number): void {
+  private recordFresh(staleSinceMs: number): void {
     const {clock, logger, table} = this.parts;
-    const forMs = Math.round(clock.getNow() - staleAtMs);
-    this.staleAtMs = undefined;
-    this.failed = undefined;
+    const forMs = Math.round(clock.getNow() - staleSinceMs);
+    this.staleSinceMs = undefined;
+    this.lastFailure = undefined;
     logger.logEvent('view.fresh', {...table.getState(), forMs});
   }
 
-  private recordFailed(failed: FailedRefresh): void {
+  private recordFailed(failure: FailedRefresh): void {
     const {logger, table} = this.parts;
-    const isNews = this.failed?.reach !== failed.reach;
-    this.failed = failed;
-    if (!isNews) return;
+    const hasReachChanged = this.lastFailure?.reach !== failure.reach;
+    this.lastFailure = failure;
+    if (!hasReachChanged) return;
     logger.logEvent('view.unconfirmed', {
       ...table.getState(),
-      peers: failed.reach,
+      peers: failure.reach,
     });
   }
 }
--- a/packages/freshness/src/freshness-table.ts
+++ b/packages/freshness/src/freshness-table.ts
@@ -33,7 +33,7 @@
 export class FreshnessTable {
   private readonly parts: FreshnessTableParts;
   private readonly evidence = new Map<ViewPart, Evidence>();
-  private waiting: PromiseWithResolvers<void> | undefined;
+  private freshWaiter: PromiseWithResolvers<void> | undefined;
 
   constructor(parts: FreshnessTableParts) {
     this.parts = parts;
@@ -50,9 +50,9 @@
     const untilMs = Math.min(this.parts.clock.getNow(), knownUntilMs);
     if (untilMs <= this.getEvidence(part).knownUntilMs) return;
     this.evidence.set(part, {knownUntilMs: untilMs, source});
-    if (!this.waiting || this.isStale()) return;
-    this.waiting.resolve();
-    this.waiting = undefined;
+    if (!this.freshWaiter || this.isStale()) return;
+    this.freshWaiter.resolve();
+    this.freshWaiter = undefined;
   }
 
   /** Returns until when a part is known; undefined before there was evidence. */
@@ -87,8 +87,8 @@
   /** Resolves once the view is fresh. */
   waitUntilFresh(): Promise<void> {
     if (!this.isStale()) return Promise.resolve();
-    this.waiting ??= Promise.withResolvers<void>();
-    return this.waiting.promise;
+    this.freshWaiter ??= Promise.withResolvers<void>();
+    return this.freshWaiter.promise;
   }
 
   private getEvidence(part: ViewPart): Evidence {
--- a/packages/quarantine/src/crash-detector.test.ts
+++ b/packages/quarantine/src/crash-detector.test.ts
@@ -13,7 +13,7 @@
   const clock = new ManualClock(0);
   const crashed: string[] = [];
   const probes: string[] = [];
-  const world: {state: ConnectionState} = {state: 'accepted'};
+  const connection: {state: ConnectionState} = {state: 'accepted'};
   const detector = new CrashDetector({
     clock,
     logger: new SilentEventLogger(),
@@ -24,7 +24,7 @@
     },
     checkAddress: async address => {
       probes.push(address);
-      return world.state;
+      return connection.state;
     },
   });
   const recordBroken = (fingerprint: string, upstream = UPSTREAM) =>
@@ -34,12 +34,12 @@
       sentAtMs: clock.getNow(),
       endedAtMs: clock.getNow(),
     });
-  return {clock, detector, crashed, probes, world, recordBroken};
+  return {clock, detector, crashed, probes, connection, recordBroken};
 }
 
 test('a connection that broke counts once the upstream refuses the next one', async () => {
-  const {clock, crashed, world, recordBroken} = createDetector();
-  world.state = 'refused';
+  const {clock, crashed, connection, recordBroken} = createDetector();
+  connection.state = 'refused';
   recordBroken('f1');
   recordBroken('f2');
   assert.deepEqual(crashed, []);
@@ -48,10 +48,10 @@
 });
 
 test('a process that closes its port a little later than its connections is found', async () => {
-  const {clock, crashed, world, recordBroken} = createDetector();
+  const {clock, crashed, connection, recordBroken} = createDetector();
   recordBroken('f1');
   await clock.advance(100);
-  world.state = 'refused';
+  connection.state = 'refused';
   await clock.advance(100);
   assert.deepEqual(crashed, ['f1 u1']);
 });
@@ -70,8 +70,8 @@
 });
 
 test('a silent upstream counts once its registration shows that it has ended', async () => {
-  const {clock, detector, crashed, world, recordBroken} = createDetector();
-  world.state = 'unanswered';
+  const {clock, detector, crashed, connection, recordBroken} = createDetector();
+  connection.state = 'unanswered';
   recordBroken('f1');
   recordBroken('f2', OTHER);
   await clock.advance(4000);
@@ -80,8 +80,8 @@
 });
 
 test('a request that was answered meanwhile has crashed nothing', async () => {
-  const {clock, detector, crashed, world, recordBroken} = createDetector();
-  world.state = 'refused';
+  const {clock, detector, crashed, connection, recordBroken} = createDetector();
+  connection.state = 'refused';
   recordBroken('f1');
   detector.recordServed('f1');
   await clock.advance(1000);
--- a/packages/quarantine/src/crash-detector.ts
+++ b/packages/quarantine/src/crash-detector.ts
@@ -35,9 +35,9 @@
  */
 const PROBE_DELAYS_MS = [20, 150];
 /** Milliseconds for which an upstream that accepts connections is not probed again. */
-const PROBE_PAUSE_MS = 2000;
+const MIN_PROBE_INTERVAL_MS = 2000;
 /** Milliseconds in which a registration shows that an upstream has ended. */
-const PENDING_MS = 10_000;
+const EVIDENCE_TIMEOUT_MS = 10_000;
 /** Attempts that wait for evidence, at most. */
 const MAX_PENDING = 256;
 /** Fingerprints in one line of the log. */
@@ -51,9 +51,9 @@
   private readonly parts: CrashDetectorParts;
   private pending: BrokenAttempt[] = [];
   /** Ids of the registered upstreams; undefined until they were read. */
-  private listed: ReadonlySet<string> | undefined;
+  private registeredIds: ReadonlySet<string> | undefined;
   /** When each upstream is to be probed again, at the earliest. */
-  private readonly probedUntilMs = new Map<string, number>();
+  private readonly nextProbeAtMs = new Map<string, number>();
 
   constructor(parts: CrashDetectorParts) {
     this.parts = parts;
@@ -70,8 +70,8 @@
     this.removeExpired();
     const {upstream} = attempt;
     this.pending = [...this.pending, attempt].slice(-MAX_PENDING);
-    const isGone = this.listed?.has(upstream.id) === false;
-    if (isGone) this.settleCrash(upstream.id, 'registration');
+    const isUnregistered = this.registeredIds?.has(upstream.id) === false;
+    if (isUnregistered) this.settleCrash(upstream.id, 'registration');
     else this.scheduleProbes(upstream);
   }
 
@@ -89,21 +89,23 @@
 
   /** Takes the upstreams that are registered now. */
   setUpstreams(upstreams: ReadonlyArray<{readonly id: string}>): void {
-    const listed = new Set(upstreams.map(({id}) => id));
-    this.listed = listed;
-    const gone = this.pending.filter(({upstream}) => !listed.has(upstream.id));
-    for (const id of new Set(gone.map(({upstream}) => upstream.id))) {
+    const registeredIds = new Set(upstreams.map(({id}) => id));
+    this.registeredIds = registeredIds;
+    const unregistered = this.pending.filter(
+      ({upstream}) => !registeredIds.has(upstream.id),
+    );
+    for (const id of new Set(unregistered.map(({upstream}) => upstream.id))) {
       this.settleCrash(id, 'registration');
     }
   }
 
   private scheduleProbes(upstream: BrokenAttempt['upstream']): void {
     const nowMs = this.parts.clock.getNow();
-    if (nowMs < (this.probedUntilMs.get(upstream.id) ?? 0)) return;
-    for (const [id, untilMs] of this.probedUntilMs) {
-      if (untilMs <= nowMs) this.probedUntilMs.delete(id);
+    if (nowMs < (this.nextProbeAtMs.get(upstream.id) ?? 0)) return;
+    for (const [id, probeAtMs] of this.nextProbeAtMs) {
+      if (probeAtMs <= nowMs) this.nextProbeAtMs.delete(id);
     }
-    this.probedUntilMs.set(upstream.id, nowMs + PROBE_PAUSE_MS);
+    this.nextProbeAtMs.set(upstream.id, nowMs + MIN_PROBE_INTERVAL_MS);
     for (const delayMs of PROBE_DELAYS_MS) {
       this.parts.clock.schedule(delayMs, () => void this.runProbe(upstream));
     }
@@ -155,7 +157,7 @@
   }
 
   private removeExpired(): void {
-    const sinceMs = this.parts.clock.getNow() - PENDING_MS;
+    const sinceMs = this.parts.clock.getNow() - EVIDENCE_TIMEOUT_MS;
     this.pending = this.pending.filter(({endedAtMs}) => endedAtMs >= sinceMs);
   }
 }
--- a/packages/quarantine/src/isolation.ts
+++ b/packages/quarantine/src/isolation.ts
@@ -9,7 +9,7 @@
  */
 export class IsolatedAttempts {
   private readonly clock: Clock;
-  private readonly last = new Map<string, Promise<void>>();
+  private readonly latest = new Map<string, Promise<void>>();
 
   constructor(clock: Clock) {
     this.clock = clock;
@@ -22,17 +22,17 @@
    * @throws The signal's reason once it is aborted.
    */
   async acquire(service: string, signal: AbortSignal): Promise<() => void> {
-    const before = this.last.get(service);
+    const previous = this.latest.get(service);
     const {promise, resolve} = Promise.withResolvers<void>();
-    this.last.set(service, promise);
+    this.latest.set(service, promise);
     const release = () => {
       resolve();
-      if (this.last.get(service) === promise) this.last.delete(service);
+      if (this.latest.get(service) === promise) this.latest.delete(service);
     };
-    if (!before) return release;
+    if (!previous) return release;
     try {
       // A stream may take long; others must not wait for its end.
-      await Promise.race([before, waitFor(this.clock, MAX_WAIT_MS, signal)]);
+      await Promise.race([previous, waitFor(this.clock, MAX_WAIT_MS, signal)]);
       return release;
     } catch (error) {
       release();
--- a/packages/quarantine/src/suspect-table.test.ts
+++ b/packages/quarantine/src/suspect-table.test.ts
@@ -26,8 +26,8 @@
 function createTable(clock = new ManualClock(0)) {
   const logger = new ListingLogger();
   const table = new SuspectTable({clock, logger});
-  const news = {count: 0};
-  table.addChangeListener(() => (news.count += 1));
+  const changes = {count: 0};
+  table.addChangeListener(() => (changes.count += 1));
   const crash = (request: SuspectRequest, upstream: string, sentAtMs: number) =>
     table.recordCrash(request, {
       upstream,
@@ -36,7 +36,7 @@
       isRefuted: false,
     });
   const listNames = () => logger.lines.map(([name]) => name);
-  return {clock, logger, table, news, crash, listNames};
+  return {clock, logger, table, changes, crash, listNames};
 }
 
 test('the third crash in a row begins a quarantine, with a line that names the upstreams', async () => {
@@ -119,11 +119,11 @@
 });
 
 test('what is known already is no news, so that messages between instances end', () => {
-  const {table, news, crash} = createTable();
+  const {table, changes, crash} = createTable();
   crash(POISON, 'u1', 0);
-  assert.equal(news.count, 1);
+  assert.equal(changes.count, 1);
   table.applyReports(table.listReports(), 'peer');
-  assert.equal(news.count, 1);
+  assert.equal(changes.count, 1);
 });
 
 test('a workspace that varies its requests cannot push out what is known of another one', () => {
--- a/packages/quarantine/src/suspect-table.ts
+++ b/packages/quarantine/src/suspect-table.ts
@@ -37,7 +37,7 @@
 /** Milliseconds without a caller after which a quarantined request is forgotten. */
 const QUARANTINE_IDLE_MS = 60 * 60_000;
 /** Milliseconds for which peers are told of a request that is not quarantined. */
-const NEWS_MS = 30_000;
+const CHANGE_REPORT_MS = 30_000;
 
 /**
  * Requests under which upstreams have crashed, as this instance and its peers saw it.
@@ -46,7 +46,7 @@
 export class SuspectTable {
   private readonly parts: SuspectTableParts;
   private readonly suspects = new Map<string, Suspect>();
-  private readonly newsListeners: Array<() => void> = [];
+  private readonly changeListeners: Array<() => void> = [];
 
   constructor(parts: SuspectTableParts) {
     this.parts = parts;
@@ -64,7 +64,7 @@
   /** Counts the crashes one after the other that are held against a request. */
   countCrashes(fingerprint: string): number {
     const suspect = this.suspects.get(fingerprint);
-    return suspect ? this.countHeld(suspect) : 0;
+    return suspect ? this.countUnexplained(suspect) : 0;
   }
 
   countQuarantined(): number {
@@ -84,7 +84,7 @@
 
   /** Adds a function that is called when peers should be told. */
   addChangeListener(listener: () => void): void {
-    this.newsListeners.push(listener);
+    this.changeListeners.push(listener);
   }
 
   /** Notes that a caller has sent a request. */
@@ -98,7 +98,7 @@
   /** Notes that an upstream has crashed while it ran a request. */
   recordCrash(request: SuspectRequest, crash: UpstreamCrash): void {
     const nowMs = this.parts.clock.getNow();
-    this.joinSuspect({
+    this.mergeSuspect({
       ...request,
       isQuarantined: false,
       seenAtMs: nowMs,
@@ -126,7 +126,7 @@
   applyReports(reports: readonly SuspectReport[], source: string): void {
     const nowMs = this.parts.clock.getNow();
     for (const report of reports) {
-      this.joinSuspect(toSuspect(report, nowMs), source);
+      this.mergeSuspect(toSuspect(report, nowMs), source);
     }
   }
 
@@ -135,7 +135,10 @@
     this.removeIdle();
     const nowMs = this.parts.clock.getNow();
     return [...this.suspects.values()]
-      .filter(each => each.isQuarantined || nowMs - each.changedAtMs <= NEWS_MS)
+      .filter(
+        each =>
+          each.isQuarantined || nowMs - each.changedAtMs <= CHANGE_REPORT_MS,
+      )
       .sort(compareUrgency)
       .slice(0, MAX_REPORTS)
       .map(suspect => toReport(suspect, nowMs));
@@ -145,29 +148,29 @@
     return [...this.suspects.values()].filter(each => each.isQuarantined);
   }
 
-  private joinSuspect(told: Suspect, source = 'own'): void {
-    const known = this.suspects.get(told.fingerprint);
-    const joined = known ? mergeSuspects(known, told) : told;
-    const suspect = this.judgeSuspect(joined);
+  private mergeSuspect(reported: Suspect, source = 'own'): void {
+    const known = this.suspects.get(reported.fingerprint);
+    const merged = known ? mergeSuspects(known, reported) : reported;
+    const suspect = this.judgeSuspect(merged);
     this.suspects.set(suspect.fingerprint, suspect);
-    this.applyBound();
+    this.removeExcess();
     const wasQuarantined = known?.isQuarantined === true;
     if (suspect.isQuarantined && !wasQuarantined) {
       this.logSuspect('request.quarantined', suspect, source);
     } else if (wasQuarantined && !suspect.isQuarantined) {
       this.logSuspect('request.cleared', suspect, source);
     }
-    if (hasChanged(known, suspect)) this.callNewsListeners();
+    if (hasChanged(known, suspect)) this.callChangeListeners();
   }
 
   private judgeSuspect(suspect: Suspect): Suspect {
     if (suspect.isQuarantined) return suspect;
-    const isQuarantined = this.countHeld(suspect) >= QUARANTINE_CRASHES;
+    const isQuarantined = this.countUnexplained(suspect) >= QUARANTINE_CRASHES;
     return {...suspect, isQuarantined};
   }
 
   // What ran beside a request that is known to crash upstreams is not their cause.
-  private countHeld({crashes, fingerprint}: Suspect): number {
+  private countUnexplained({crashes, fingerprint}: Suspect): number {
     const explained = this.listQuarantined()
       .filter(each => each.fingerprint !== fingerprint)
       .flatMap(each => each.crashes.map(({upstream}) => upstream));
@@ -183,18 +186,18 @@
     if (suspect.isQuarantined) {
       this.logSuspect(event, cleared, 'own');
     }
-    this.callNewsListeners();
+    this.callChangeListeners();
   }
 
   private removeIdle(): void {
     const nowMs = this.parts.clock.getNow();
     for (const [fingerprint, suspect] of this.suspects) {
-      if (isForgotten(suspect, nowMs)) this.suspects.delete(fingerprint);
+      if (isExpired(suspect, nowMs)) this.suspects.delete(fingerprint);
     }
   }
 
   // A caller that varies its requests pushes out its own ones, not those of others.
-  private applyBound(): void {
+  private removeExcess(): void {
     while (this.suspects.size > MAX_SUSPECTS) {
       const workspace = findFullestWorkspace([...this.suspects.values()]);
       const oldest = [...this.suspects.values()]
@@ -224,12 +227,12 @@
     });
   }
 
-  private callNewsListeners(): void {
-    for (const listener of this.newsListeners) listener();
+  private callChangeListeners(): void {
+    for (const listener of this.changeListeners) listener();
   }
 }
 
-function isForgotten(suspect: Suspect, nowMs: number): boolean {
+function isExpired(suspect: Suspect, nowMs: number): boolean {
   const {isQuarantined, seenAtMs, changedAtMs} = suspect;
   if (!isSuspected(suspect)) return nowMs - changedAtMs > SUSPECT_IDLE_MS;
   const limitMs = isQuarantined ? QUARANTINE_IDLE_MS : SUSPECT_IDLE_MS;
--- a/packages/quarantine/src/suspect.test.ts
+++ b/packages/quarantine/src/suspect.test.ts
@@ -69,14 +69,14 @@
 test('an answer refutes what is known, and a peer that does not know it cannot bring it back', () => {
   const known = createSuspect([createCrash('u1', 0, 100)], true);
   const served = recordServed(known, 500);
-  const joined = mergeSuspects(served, known);
-  assert.equal(joined.isQuarantined, false);
-  assert.equal(hasChanged(served, joined), false);
+  const merged = mergeSuspects(served, known);
+  assert.equal(merged.isQuarantined, false);
+  assert.equal(hasChanged(served, merged), false);
   const later = mergeSuspects(
-    joined,
+    merged,
     createSuspect([createCrash('u2', 600, 700)]),
   );
-  assert.equal(hasChanged(joined, later), true);
+  assert.equal(hasChanged(merged, later), true);
   assert.equal(countSequentialCrashes(later.crashes, NONE), 1);
 });
 
@@ -84,15 +84,15 @@
   const old = Array.from({length: 6}, (_, index) =>
     createCrash(`old-${index}`, index, index, true),
   );
-  const joined = mergeSuspects(
+  const merged = mergeSuspects(
     createSuspect(old),
     createSuspect([
       createCrash('u1', 100, 200),
       createCrash('more', 1, 2, true),
     ]),
   );
-  assert.equal(joined.crashes.length, 6);
-  assert.ok(joined.crashes.some(({upstream}) => upstream === 'u1'));
+  assert.equal(merged.crashes.length, 6);
+  assert.ok(merged.crashes.some(({upstream}) => upstream === 'u1'));
 });
 
 const crashArbitrary = fc.record({
--- a/packages/quarantine/src/suspect.ts
+++ b/packages/quarantine/src/suspect.ts
@@ -76,17 +76,17 @@
  * Joins what two instances know of a request. A crash that one of them knows to be refuted
  * stays so, which makes the order of messages irrelevant.
  */
-export function mergeSuspects(known: Suspect, told: Suspect): Suspect {
-  const crashes = joinCrashes(known.crashes, told.crashes);
+export function mergeSuspects(known: Suspect, reported: Suspect): Suspect {
+  const crashes = mergeCrashes(known.crashes, reported.crashes);
   const isQuarantined =
-    (known.isQuarantined || told.isQuarantined) &&
+    (known.isQuarantined || reported.isQuarantined) &&
     crashes.some(({isRefuted}) => !isRefuted);
-  const joined = {...known, isQuarantined, crashes};
+  const merged = {...known, isQuarantined, crashes};
   return {
-    ...joined,
-    seenAtMs: Math.max(known.seenAtMs, told.seenAtMs),
-    changedAtMs: hasChanged(known, joined)
-      ? told.changedAtMs
+    ...merged,
+    seenAtMs: Math.max(known.seenAtMs, reported.seenAtMs),
+    changedAtMs: hasChanged(known, merged)
+      ? reported.changedAtMs
       : known.changedAtMs,
   };
 }
@@ -103,19 +103,19 @@
 }
 
 // Returns `known` itself where nothing is added.
-function joinCrashes(
+function mergeCrashes(
   known: readonly UpstreamCrash[],
-  told: readonly UpstreamCrash[],
+  reported: readonly UpstreamCrash[],
 ): readonly UpstreamCrash[] {
-  let joined = known;
-  for (const crash of told) {
-    const index = joined.findIndex(({upstream}) => upstream === crash.upstream);
-    if (index < 0) joined = addCrash(joined, crash);
-    else if (crash.isRefuted && !joined[index].isRefuted) {
-      joined = joined.with(index, {...joined[index], isRefuted: true});
+  let merged = known;
+  for (const crash of reported) {
+    const index = merged.findIndex(({upstream}) => upstream === crash.upstream);
+    if (index < 0) merged = addCrash(merged, crash);
+    else if (crash.isRefuted && !merged[index].isRefuted) {
+      merged = merged.with(index, {...merged[index], isRefuted: true});
     }
   }
-  return joined;
+  return merged;
 }
 
 // Where the list is full, a refuted crash gives way to one that is not.
--- a/packages/quarantine/src/verdict-persister.test.ts
+++ b/packages/quarantine/src/verdict-persister.test.ts
@@ -14,7 +14,7 @@
 /** The keys of a store that may be away. */
 class KeyStore {
   readonly values = new Map<string, string>();
-  isAway = false;
+  isUnavailable = false;
   callCount = 0;
 
   /** Changes when the store is restored from a backup. */
@@ -48,17 +48,21 @@
 
   private countCall(): void {
     this.callCount += 1;
-    if (this.isAway) throw new StoreError('away', 'none');
+    if (this.isUnavailable) throw new StoreError('away', 'none');
   }
 }
 
 const getHalf = () => 0.5;
 
-function startInstance(clock: ManualClock, store: KeyStore, isFirst = true) {
+function startInstance(
+  clock: ManualClock,
+  store: KeyStore,
+  isInitialCoordinator = true,
+) {
   const logger = new SilentEventLogger();
   const table = new SuspectTable({clock, logger});
-  const role = {isCoordinator: isFirst};
-  const keeper = new VerdictPersister({
+  const role = {isCoordinator: isInitialCoordinator};
+  const persister = new VerdictPersister({
     clock,
     logger,
     table,
@@ -66,8 +70,8 @@
     random: getHalf,
     isCoordinator: () => role.isCoordinator,
   });
-  void keeper.start();
-  return {table, role, keeper};
+  void persister.start();
+  return {table, role, persister};
 }
 
 function recordThreeCrashes(table: SuspectTable, fingerprint = 'poison'): void {
@@ -89,67 +93,67 @@
   await clock.advance(1000);
   recordThreeCrashes(lost.table);
   await clock.advance(1000);
-  lost.keeper.stop();
+  lost.persister.stop();
   const next = startInstance(clock, store);
   await clock.advance(1000);
   assert.equal(next.table.isQuarantined('poison'), true);
-  next.keeper.stop();
+  next.persister.stop();
 });
 
 test('a verdict is written once, by the coordinator alone, and a calm fleet costs one call', async () => {
   const clock = new ManualClock(0);
   const store = new KeyStore();
-  const instances = [true, false, false].map(isFirst =>
-    startInstance(clock, store, isFirst),
+  const instances = [true, false, false].map(isInitialCoordinator =>
+    startInstance(clock, store, isInitialCoordinator),
   );
   await clock.advance(5000);
   assert.equal(store.callCount, 1);
   for (const {table} of instances) recordThreeCrashes(table);
   await clock.advance(60_000);
   assert.equal(store.callCount, 3);
-  for (const {keeper} of instances) keeper.stop();
+  for (const {persister} of instances) persister.stop();
 });
 
 test('a verdict is written when the store is back, and again before its lease ends', async () => {
   const clock = new ManualClock(0);
   const store = new KeyStore();
-  const {table, keeper} = startInstance(clock, store);
-  store.isAway = true;
+  const {table, persister} = startInstance(clock, store);
+  store.isUnavailable = true;
   recordThreeCrashes(table);
   await clock.advance(5000);
   assert.equal(store.values.size, 0);
-  store.isAway = false;
+  store.isUnavailable = false;
   await clock.advance(1000);
   assert.equal(store.values.size, 1);
   store.values.clear();
   await clock.advance(6 * 60_000);
   assert.equal(store.values.size, 1);
-  keeper.stop();
+  persister.stop();
 });
 
 test('a verdict that has ended is taken out of the store', async () => {
   const clock = new ManualClock(0);
   const store = new KeyStore();
-  const {table, keeper} = startInstance(clock, store);
+  const {table, persister} = startInstance(clock, store);
   recordThreeCrashes(table);
   await clock.advance(1000);
   table.releaseRequest('poison');
   await clock.advance(1000);
   assert.equal(store.values.size, 0);
-  keeper.stop();
+  persister.stop();
 });
 
 test('a next coordinator writes what the last one could not', async () => {
   const clock = new ManualClock(0);
   const store = new KeyStore();
-  const {table, role, keeper} = startInstance(clock, store, false);
+  const {table, role, persister} = startInstance(clock, store, false);
   recordThreeCrashes(table);
   await clock.advance(1000);
   assert.equal(store.values.size, 0);
   role.isCoordinator = true;
   await clock.advance(1000);
   assert.equal(store.values.size, 1);
-  keeper.stop();
+  persister.stop();
 });
 
 test('an entry that cannot be read hides no other one', async () => {
@@ -158,19 +162,19 @@
   const writer = startInstance(clock, store);
   recordThreeCrashes(writer.table);
   await clock.advance(1000);
-  writer.keeper.stop();
+  writer.persister.stop();
   store.values.set('hollowstack/quarantine/a', 'no json');
   store.values.set('hollowstack/quarantine/b', '{"fingerprint": 7}');
   const reader = startInstance(clock, store);
   await clock.advance(1000);
   assert.equal(reader.table.isQuarantined('poison'), true);
-  reader.keeper.stop();
+  reader.persister.stop();
 });
 
 test('a verdict that a restored store lacks is written again', async () => {
   const clock = new ManualClock();
   const store = new KeyStore();
-  const {table, keeper} = startInstance(clock, store);
+  const {table, persister} = startInstance(clock, store);
   recordThreeCrashes(table);
   await clock.advance(2000);
   assert.equal(store.values.size, 1);
@@ -178,5 +182,5 @@
   store.historyId = '2';
   await clock.advance(2000);
   assert.equal(store.values.size, 1);
-  keeper.stop();
+  persister.stop();
 });
--- a/packages/quarantine/src/verdict-persister.ts
+++ b/packages/quarantine/src/verdict-persister.ts
@@ -28,7 +28,7 @@
 }
 
 /** Milliseconds between two looks at what the store lacks. */
-const LOOK_MS = 500;
+const SYNC_INTERVAL_MS = 500;
 
 /**
  * Keeps verdicts in the store, so that they outlive the loss of all instances. Only the
@@ -47,7 +47,7 @@
     this.parts = parts;
     this.task = new RepeatingTask(parts.clock, parts.random, async () => {
       await this.refreshVerdicts();
-      return LOOK_MS;
+      return SYNC_INTERVAL_MS;
     });
   }
 
--- a/packages/quarantine/src/verdict-plan.ts
+++ b/packages/quarantine/src/verdict-plan.ts
@@ -25,14 +25,14 @@
   written: ReadonlyMap<string, number>,
   nowMs: number,
 ): VerdictPlan {
-  const held = new Set(verdicts.map(({fingerprint}) => fingerprint));
+  const quarantined = new Set(verdicts.map(({fingerprint}) => fingerprint));
   const dueBeforeMs = nowMs - VERDICT_LEASE_MS * REWRITE_SHARE;
   return {
     writes: verdicts.filter(({fingerprint}) => {
       const writtenAtMs = written.get(fingerprint);
       return writtenAtMs === undefined || writtenAtMs < dueBeforeMs;
     }),
-    removals: [...written.keys()].filter(each => !held.has(each)),
+    removals: [...written.keys()].filter(each => !quarantined.has(each)),
   };
 }
 
--- a/packages/upstream-limits/src/limit-table.test.ts
+++ b/packages/upstream-limits/src/limit-table.test.ts
@@ -37,13 +37,13 @@
   const {clock, table, createAnswer} = createTable();
   const peer = new LimitTable({clock, logger: new SilentLogger()});
   const sendReports = () => peer.applyReports(table.listReports(), 'peer p');
-  let newsCount = 0;
-  peer.addChangeListener(() => newsCount++);
+  let changeCount = 0;
+  peer.addChangeListener(() => changeCount++);
   table.recordLimit(createAnswer(), 2);
   sendReports();
   sendReports();
   assert.equal(peer.getLimit('u1'), 2);
-  assert.equal(newsCount, 1);
+  assert.equal(changeCount, 1);
   await clock.advance(1000);
   table.recordLimit(createAnswer(), 0.5);
   sendReports();
@@ -52,7 +52,7 @@
   table.recordNoLimit(createAnswer());
   sendReports();
   assert.equal(peer.getLimit('u1'), undefined);
-  assert.equal(newsCount, 3);
+  assert.equal(changeCount, 3);
 });
 
 test('a stale peer report does not restore an ended limit', async () => {
--- a/packages/upstream-limits/src/limit-table.ts
+++ b/packages/upstream-limits/src/limit-table.ts
@@ -43,7 +43,7 @@
 export class LimitTable {
   private readonly parts: LimitTableParts;
   private readonly limits = new Map<string, KnownLimit>();
-  private readonly newsListeners: Array<() => void> = [];
+  private readonly changeListeners: Array<() => void> = [];
 
   constructor(parts: LimitTableParts) {
     this.parts = parts;
@@ -51,7 +51,7 @@
 
   /** Adds a listener that is called when a limit is set, changes or ends. */
   addChangeListener(listener: () => void): void {
-    this.newsListeners.push(listener);
+    this.changeListeners.push(listener);
   }
 
   /** Returns an upstream's limit in requests per second; undefined if it has none. */
@@ -181,6 +181,6 @@
       const limited = {...fields, perSecond};
       this.parts.logger.logEvent('upstream.limited', limited);
     }
-    for (const listener of this.newsListeners) listener();
+    for (const listener of this.changeListeners) listener();
   }
 }
--- a/packages/upstream-signals/src/back-off-table.ts
+++ b/packages/upstream-signals/src/back-off-table.ts
@@ -14,10 +14,10 @@
   readonly logger: EventLogger;
 }
 
-interface Row {
+interface BackOffEntry {
   backOff: BackOff;
   /** When the upstream last asked, in milliseconds of this instance's clock. */
-  readonly askedAtMs: number;
+  readonly requestedAtMs: number;
   timer: Timer;
 }
 
@@ -27,7 +27,7 @@
  */
 export class BackOffTable {
   private readonly parts: BackOffTableParts;
-  private readonly rows = new Map<string, Row>();
+  private readonly entries = new Map<string, BackOffEntry>();
 
   constructor(parts: BackOffTableParts) {
     this.parts = parts;
@@ -36,19 +36,19 @@
   /**
    * Notes that an upstream wants no work.
    *
-   * @param forMs Milliseconds from now.
+   * @param durationMs Milliseconds from now.
    */
-  beginBackOff(id: string, forMs: number): void {
+  beginBackOff(id: string, durationMs: number): void {
     const {clock, logger} = this.parts;
     const nowMs = clock.getNow();
-    const row = this.rows.get(id);
-    row?.timer.cancel();
-    const backOff = recordBackOff(row?.backOff, forMs, nowMs);
-    const leftMs = backOff.untilMs - nowMs;
-    const timer = clock.schedule(leftMs, () =>
+    const entry = this.entries.get(id);
+    entry?.timer.cancel();
+    const backOff = recordBackOff(entry?.backOff, durationMs, nowMs);
+    const remainingMs = backOff.untilMs - nowMs;
+    const timer = clock.schedule(remainingMs, () =>
       logger.logEvent('upstream.back-off-ended', {upstream: id}),
     );
-    this.rows.set(id, {backOff, askedAtMs: nowMs, timer});
+    this.entries.set(id, {backOff, requestedAtMs: nowMs, timer});
   }
 
   /**
@@ -58,9 +58,9 @@
    * @param startedAtMs When the new life began, in Unix milliseconds.
    */
   replaceIncarnation(before: string, after: string, startedAtMs: number): void {
-    const row = this.rows.get(before);
+    const entry = this.entries.get(before);
     const waitMs = this.getWaitMs(before);
-    if (row && waitMs > 0 && row.askedAtMs >= startedAtMs) {
+    if (entry && waitMs > 0 && entry.requestedAtMs >= startedAtMs) {
       this.beginBackOff(after, waitMs);
     }
   }
@@ -73,11 +73,11 @@
 
   /** Returns whether work that is sent now may be, and counts it if so. */
   acquireSend(id: string): boolean {
-    const row = this.rows.get(id);
-    if (!row || !this.findBackOff(id)) return true;
+    const entry = this.entries.get(id);
+    if (!entry || !this.findBackOff(id)) return true;
     const nowMs = this.parts.clock.getNow();
-    if (!maySend(row.backOff, nowMs)) return false;
-    row.backOff = recordSend(row.backOff, nowMs);
+    if (!maySend(entry.backOff, nowMs)) return false;
+    entry.backOff = recordSend(entry.backOff, nowMs);
     return true;
   }
 
@@ -90,20 +90,20 @@
 
   /** Counts the upstreams that want no work now. */
   countBackingOff(): number {
-    return [...this.rows.keys()].filter(id => this.getWaitMs(id) > 0).length;
+    return [...this.entries.keys()].filter(id => this.getWaitMs(id) > 0).length;
   }
 
   /** Cancels the timers, so that nothing is left to keep a process that stops. */
   stop(): void {
-    for (const {timer} of this.rows.values()) timer.cancel();
-    this.rows.clear();
+    for (const {timer} of this.entries.values()) timer.cancel();
+    this.entries.clear();
   }
 
   private findBackOff(id: string): BackOff | undefined {
-    const backOff = this.rows.get(id)?.backOff;
+    const backOff = this.entries.get(id)?.backOff;
     if (!backOff) return undefined;
     if (!isOver(backOff, this.parts.clock.getNow())) return backOff;
-    this.rows.delete(id);
+    this.entries.delete(id);
     return undefined;
   }
 }
--- a/packages/upstream-signals/src/back-off.ts
+++ b/packages/upstream-signals/src/back-off.ts
@@ -15,7 +15,7 @@
  */
 const STEP_MS = 100;
 /** Pieces of work that one instance may send in the first step; doubled in each one. */
-const FIRST_STEP_COUNT = 2;
+const FIRST_STEP_SENDS = 2;
 /** Steps until an upstream gets whatever there is: some sixty pieces were let through. */
 const STEP_COUNT = 5;
 
@@ -23,14 +23,14 @@
  * Returns the state after an upstream asked for no work. A shorter time does not end
  * one that is longer: both were asked for.
  *
- * @param forMs Milliseconds from now.
+ * @param durationMs Milliseconds from now.
  */
 export function recordBackOff(
   known: BackOff | undefined,
-  forMs: number,
+  durationMs: number,
   nowMs: number,
 ): BackOff {
-  const untilMs = Math.max(known?.untilMs ?? 0, nowMs + forMs);
+  const untilMs = Math.max(known?.untilMs ?? 0, nowMs + durationMs);
   return {untilMs, step: 0, sentCount: 0};
 }
 
@@ -43,7 +43,7 @@
   if (nowMs < backOff.untilMs) return false;
   const step = computeStep(backOff, nowMs);
   const sentCount = step === backOff.step ? backOff.sentCount : 0;
-  return sentCount < FIRST_STEP_COUNT * 2 ** step;
+  return sentCount < FIRST_STEP_SENDS * 2 ** step;
 }
 
 /** Returns the state after work was sent. */
--- a/packages/upstream-signals/src/upstream-signals.ts
+++ b/packages/upstream-signals/src/upstream-signals.ts
@@ -27,7 +27,7 @@
 }
 
 /** Upstreams remembered whose values could not be read, so that each is logged once. */
-const MAX_UNREADABLE = 1000;
+const MAX_LOGGED_UNREADABLE = 1000;
 /** Characters of such a value in the log. */
 const MAX_LOGGED_CHARACTERS = 40;
 
@@ -35,7 +35,7 @@
 export class UpstreamSignals {
   private readonly parts: UpstreamSignalsParts;
   /** Event name and upstream id of each unreadable value that was logged. */
-  private readonly unreadable = new Set<string>();
+  private readonly loggedUnreadable = new Set<string>();
 
   constructor(parts: UpstreamSignalsParts) {
     this.parts = parts;
@@ -84,10 +84,10 @@
     const {logger, backOffs} = this.parts;
     const {upstream, head, requestId} = answer;
     this.countSignal(answer, 'back-off');
-    const isKnown = backOffs.getWaitMs(upstream.id) > 0;
+    const wasBackingOff = backOffs.getWaitMs(upstream.id) > 0;
     backOffs.beginBackOff(upstream.id, Math.min(askedMs, MAX_BACK_OFF_MS));
     // What was under way as the first answer came brings the same word again.
-    if (isKnown) return;
+    if (wasBackingOff) return;
     logger.logEvent('upstream.back-off', {
       upstream: upstream.id,
       service: upstream.service,
@@ -106,11 +106,11 @@
     const {upstream} = answer;
     this.countSignal(answer, 'unreadable');
     const key = `${event} ${upstream.id}`;
-    if (this.unreadable.has(key)) return;
-    this.unreadable.add(key);
-    if (this.unreadable.size > MAX_UNREADABLE) {
-      const [oldest] = this.unreadable;
-      this.unreadable.delete(oldest);
+    if (this.loggedUnreadable.has(key)) return;
+    this.loggedUnreadable.add(key);
+    if (this.loggedUnreadable.size > MAX_LOGGED_UNREADABLE) {
+      const [oldest] = this.loggedUnreadable;
+      this.loggedUnreadable.delete(oldest);
     }
     this.parts.logger.logEvent(event, {
       upstream: upstream.id,
--- a/scripts/proofs.ts
+++ b/scripts/proofs.ts
@@ -249,8 +249,8 @@
     promise: 'nothing is decided for good by a stale view of the store',
     mechanism: 'a request waits for the refresh of a stale view',
     file: 'packages/freshness/src/freshness-guard.ts',
-    from: 'if (!failed) return true;',
-    to: 'if (!failed) return false;',
+    from: 'if (!lastFailure) return true;',
+    to: 'if (!lastFailure) return false;',
     noticedBy: 'platform/src/stale-instance.test.ts',
   },
   {
@@ -314,8 +314,8 @@
     promise: 'a request that crashes upstreams is kept from further ones',
     mechanism: 'it is refused from the third crash in a row on',
     file: 'packages/quarantine/src/suspect-table.ts',
-    from: 'const isQuarantined = this.countHeld(suspect) >= QUARANTINE_CRASHES;',
-    to: 'const isQuarantined = this.countHeld(suspect) < 0;',
+    from: 'const isQuarantined = this.countUnexplained(suspect) >= QUARANTINE_CRASHES;',
+    to: 'const isQuarantined = this.countUnexplained(suspect) < 0;',
     noticedBy: 'packages/quarantine/src/suspect-table.test.ts',
   },
   {
