--- a/packages/quarantine/src/crash-detector.test.ts
+++ b/packages/quarantine/src/crash-detector.test.ts
@@ -37,7 +37,7 @@
   return {clock, detector, crashed, probes, connection, recordBroken};
 }
 
-test('a connection that broke counts once the upstream refuses the next one', async () => {
+test('a broken connection counts as a crash once a probe is refused', async () => {
   const {clock, crashed, connection, recordBroken} = createDetector();
   connection.state = 'refused';
   recordBroken('f1');
@@ -47,7 +47,7 @@
   assert.deepEqual(crashed, ['f1 u1', 'f2 u1']);
 });
 
-test('a process that closes its port a little later than its connections is found', async () => {
+test('a crash is detected if the process closes its port later than its connections', async () => {
   const {clock, crashed, connection, recordBroken} = createDetector();
   recordBroken('f1');
   await clock.advance(100);
@@ -56,7 +56,7 @@
   assert.deepEqual(crashed, ['f1 u1']);
 });
 
-test('a connection that an upstream reset while it lives counts for nothing', async () => {
+test('connections reset by a running upstream do not count as crashes', async () => {
   const {clock, detector, crashed, probes, recordBroken} = createDetector();
   for (let index = 0; index < 50; index++) {
     recordBroken(`f${index}`);
@@ -69,7 +69,7 @@
   assert.equal(detector.hasPending(), false);
 });
 
-test('a silent upstream counts once its registration shows that it has ended', async () => {
+test('an unresponsive upstream counts as crashed once its registration ends', async () => {
   const {clock, detector, crashed, connection, recordBroken} = createDetector();
   connection.state = 'unanswered';
   recordBroken('f1');
@@ -79,7 +79,7 @@
   assert.deepEqual(crashed, ['f1 u1']);
 });
 
-test('a request that was answered meanwhile has crashed nothing', async () => {
+test('a request that is answered before the evidence arrives is not blamed for the crash', async () => {
   const {clock, detector, crashed, connection, recordBroken} = createDetector();
   connection.state = 'refused';
   recordBroken('f1');
@@ -88,7 +88,7 @@
   assert.deepEqual(crashed, []);
 });
 
-test('a connection that another request finds refused is evidence as well', () => {
+test('a connection that is refused to another request is evidence as well', () => {
   const {detector, crashed, recordBroken} = createDetector();
   recordBroken('f1');
   detector.recordRefusedConnection('u2');
--- a/packages/quarantine/src/crash-detector.ts
+++ b/packages/quarantine/src/crash-detector.ts
@@ -4,7 +4,7 @@
 import type {ConnectionState} from '@hollowstack/transport';
 import type {SuspectRequest, SuspectTable} from './suspect-table.ts';
 
-/** An attempt whose connection ended, or fell silent, before the answer was whole. */
+/** An attempt whose connection closed or became unresponsive before the answer was complete. */
 export interface BrokenAttempt {
   readonly request: SuspectRequest;
   readonly upstream: {
@@ -26,46 +26,47 @@
   readonly checkAddress: (address: string) => Promise<ConnectionState>;
 }
 
-/** By what a crash was told from an answer that was lost on the way. */
+/** Evidence that an upstream crashed, rather than that its answer was lost in transit. */
 type CrashEvidence = 'connection-refused' | 'registration';
 
 /**
- * Milliseconds after a connection broke at which the upstream is probed: a process that
- * ends may close its connections before its port.
+ * Delays of the probes after a connection broke. A process that ends may close its
+ * connections before its port, so a single early probe could miss the crash.
  */
 const PROBE_DELAYS_MS = [20, 150];
-/** Milliseconds for which an upstream that accepts connections is not probed again. */
+/** Minimum interval between two series of probes of an upstream. */
 const MIN_PROBE_INTERVAL_MS = 2000;
-/** Milliseconds in which a registration shows that an upstream has ended. */
+/** Time to wait for evidence; the registration of a crashed upstream ends within it. */
 const EVIDENCE_TIMEOUT_MS = 10_000;
-/** Attempts that wait for evidence, at most. */
+/** Maximum number of attempts that wait for evidence. */
 const MAX_PENDING = 256;
-/** Fingerprints in one line of the log. */
+/** Maximum number of fingerprints in one log line. */
 const MAX_LOGGED_FINGERPRINTS = 8;
 
 /**
- * Tells crashes of upstreams from connections that broke for other reasons: by a probe
- * right after, by a refused connection of any request, or by the registrations.
+ * Distinguishes crashes of upstreams from connections that broke for other reasons. Evidence
+ * of a crash is a refused connection, of a probe or of any request, or the end of the
+ * upstream's registration.
  */
 export class CrashDetector {
   private readonly parts: CrashDetectorParts;
   private pending: BrokenAttempt[] = [];
-  /** Ids of the registered upstreams; undefined until they were read. */
+  /** Ids of the registered upstreams; undefined until the first `setUpstreams`. */
   private registeredIds: ReadonlySet<string> | undefined;
-  /** When each upstream is to be probed again, at the earliest. */
+  /** Earliest time of the next probes, by upstream id. */
   private readonly nextProbeAtMs = new Map<string, number>();
 
   constructor(parts: CrashDetectorParts) {
     this.parts = parts;
   }
 
-  /** Returns whether a broken attempt still waits for evidence. */
+  /** Returns whether broken attempts wait for evidence. */
   hasPending(): boolean {
     this.removeExpired();
     return this.pending.length > 0;
   }
 
-  /** Notes an attempt under which the upstream may have crashed. */
+  /** Records an attempt during which the upstream may have crashed. */
   recordBroken(attempt: BrokenAttempt): void {
     this.removeExpired();
     const {upstream} = attempt;
@@ -75,19 +76,19 @@
     else this.scheduleProbes(upstream);
   }
 
-  /** Notes that a request was answered, so that no upstream crashes under it. */
+  /** Records that a request was answered, so that it is not the cause of a crash. */
   recordServed(fingerprint: string): void {
     this.pending = this.pending.filter(
       ({request}) => request.fingerprint !== fingerprint,
     );
   }
 
-  /** Notes that an upstream refused a connection: nobody listens there. */
+  /** Records that an upstream refused a connection, which shows that its process has ended. */
   recordRefusedConnection(upstreamId: string): void {
     this.settleCrash(upstreamId, 'connection-refused');
   }
 
-  /** Takes the upstreams that are registered now. */
+  /** Sets the registered upstreams; pending attempts at all others count as crashes. */
   setUpstreams(upstreams: ReadonlyArray<{readonly id: string}>): void {
     const registeredIds = new Set(upstreams.map(({id}) => id));
     this.registeredIds = registeredIds;
--- a/packages/quarantine/src/fingerprint.test.ts
+++ b/packages/quarantine/src/fingerprint.test.ts
@@ -10,13 +10,13 @@
   body: Buffer.from('hello'),
 };
 
-test('the same content has the same fingerprint', () => {
+test('equal content has equal fingerprints', () => {
   const again = {...CONTENT, body: Buffer.from('hello')};
   assert.equal(computeFingerprint(again), computeFingerprint(CONTENT));
   assert.match(computeFingerprint(CONTENT), /^[0-9a-f]{32}$/);
 });
 
-test('each part of the content counts', () => {
+test('each field of the content changes the fingerprint', () => {
   const others: RequestContent[] = [
     {...CONTENT, method: 'GET'},
     {...CONTENT, host: 'b.example'},
@@ -29,7 +29,7 @@
   assert.equal(new Set(fingerprints).size, fingerprints.length);
 });
 
-test('what belongs to one field cannot be moved to the next', () => {
+test('moving text from one field to the next changes the fingerprint', () => {
   const left = {...CONTENT, host: 'a.example/x', path: '/y'};
   const right = {...CONTENT, host: 'a.example', path: '/x/y'};
   assert.notEqual(computeFingerprint(left), computeFingerprint(right));
--- a/packages/quarantine/src/index.ts
+++ b/packages/quarantine/src/index.ts
@@ -1,4 +1,4 @@
-/** Requests that crash the upstreams which run them: recognized over all instances, and refused. */
+/** Detects requests that crash upstreams, across all instances, and refuses them. */
 export {computeFingerprint, type RequestContent} from './fingerprint.ts';
 export {
   SuspectTable,
--- a/packages/quarantine/src/isolation.ts
+++ b/packages/quarantine/src/isolation.ts
@@ -1,11 +1,11 @@
 import {waitFor, type Clock} from '@hollowstack/clock';
 
-/** Milliseconds for which an attempt waits for the one before it, at most. */
+/** Maximum time that an attempt waits for the previous one. */
 const MAX_WAIT_MS = 1000;
 
 /**
- * Lets attempts that may crash their upstream run one at a time for each service, so that
- * a crash shows which request was its cause.
+ * Serializes the attempts of each service that may crash their upstream, so that a crash
+ * can be attributed to one request.
  */
 export class IsolatedAttempts {
   private readonly clock: Clock;
@@ -16,10 +16,11 @@
   }
 
   /**
-   * Waits until the attempt may begin.
+   * Waits until the attempt may begin: when the previous one has ended, or after the
+   * maximum wait.
    *
-   * @returns Ends the attempt.
-   * @throws The signal's reason once it is aborted.
+   * @returns Function that ends the attempt.
+   * @throws The signal's reason if it is aborted during the wait.
    */
   async acquire(service: string, signal: AbortSignal): Promise<() => void> {
     const previous = this.latest.get(service);
@@ -31,7 +32,7 @@
     };
     if (!previous) return release;
     try {
-      // A stream may take long; others must not wait for its end.
+      // A streamed response may take long; later attempts must not wait for its end.
       await Promise.race([previous, waitFor(this.clock, MAX_WAIT_MS, signal)]);
       return release;
     } catch (error) {
--- a/packages/quarantine/src/request-quarantine.ts
+++ b/packages/quarantine/src/request-quarantine.ts
@@ -3,7 +3,7 @@
 import type {BrokenAttempt, CrashDetector} from './crash-detector.ts';
 import type {SuspectTable} from './suspect-table.ts';
 
-/** A request whose fingerprint is computed when it is needed. */
+/** A request whose fingerprint is computed on demand. */
 export interface QuarantineSubject {
   readonly service: string;
   /** Name of the caller's workspace; empty for a public route. */
@@ -19,12 +19,12 @@
 }
 
 /**
- * Crashes one after the other from which on a request is tried alone, and not again on
- * the product's own account.
+ * Number of sequential crashes from which on a request runs in isolation and is not retried
+ * automatically.
  */
 const ISOLATION_CRASHES = 2;
 
-/** Keeps requests that crash their upstreams away from further ones. */
+/** Refuses requests that have crashed several upstreams, and isolates suspected ones. */
 export class RequestQuarantine {
   private readonly parts: RequestQuarantineParts;
 
@@ -32,7 +32,11 @@
     this.parts = parts;
   }
 
-  /** Notes that a caller sent a request. @throws HollowstackError where it is refused. */
+  /**
+   * Records that a caller sent a request, and checks it.
+   *
+   * @throws HollowstackError `request-quarantined` if the request is quarantined.
+   */
   admitRequest(subject: QuarantineSubject): void {
     const {table} = this.parts;
     if (table.isEmpty()) return;
@@ -40,7 +44,7 @@
     this.checkRequest(subject);
   }
 
-  /** @throws HollowstackError `request-quarantined` where the request is refused. */
+  /** @throws HollowstackError `request-quarantined` if the request is quarantined. */
   checkRequest(subject: QuarantineSubject): void {
     if (!this.isQuarantined(subject)) return;
     const {service, workspaceName: workspace} = subject;
@@ -60,14 +64,14 @@
     return !table.isEmpty() && table.isQuarantined(subject.getFingerprint());
   }
 
-  /** Returns whether a request may only be tried alone, and not be retried here. */
+  /** Returns whether a request must run in isolation and must not be retried here. */
   isIsolated(subject: QuarantineSubject): boolean {
     const {table} = this.parts;
     if (table.isEmpty()) return false;
     return table.countCrashes(subject.getFingerprint()) >= ISOLATION_CRASHES;
   }
 
-  /** Notes that an upstream answered a request. */
+  /** Records that an upstream answered a request. */
   recordServed(subject: QuarantineSubject): void {
     const {table, detector} = this.parts;
     if (table.isEmpty() && !detector.hasPending()) return;
@@ -76,7 +80,7 @@
     table.recordServed(fingerprint);
   }
 
-  /** Notes that the connection of an attempt ended, or fell silent, under a request. */
+  /** Records that the connection of an attempt closed or became unresponsive. */
   recordBroken(
     subject: QuarantineSubject,
     attempt: Omit<BrokenAttempt, 'request'>,
@@ -87,7 +91,10 @@
     this.parts.detector.recordBroken({...attempt, request});
   }
 
-  /** Notes that an upstream refused a connection. */
+  /**
+   * Records that an upstream refused a connection or that another upstream now answers at
+   * its address; broken attempts there then count as crashes.
+   */
   recordRefusedConnection(upstreamId: string): void {
     this.parts.detector.recordRefusedConnection(upstreamId);
   }
--- a/packages/quarantine/src/suspect-table.test.ts
+++ b/packages/quarantine/src/suspect-table.test.ts
@@ -39,7 +39,7 @@
   return {clock, logger, table, changes, crash, listNames};
 }
 
-test('the third crash in a row begins a quarantine, with a line that names the upstreams', async () => {
+test('the third sequential crash begins a quarantine and logs the upstreams', async () => {
   const {clock, logger, table, crash} = createTable();
   crash(POISON, 'u1', 0);
   crash(POISON, 'u2', 1000);
@@ -62,7 +62,7 @@
   ]);
 });
 
-test('an answer between two crashes begins the count anew', () => {
+test('an answer between two crashes resets the count', () => {
   const {table, crash} = createTable();
   crash(POISON, 'u1', 0);
   crash(POISON, 'u2', 1000);
@@ -72,7 +72,7 @@
   assert.equal(table.isQuarantined('poison'), false);
 });
 
-test('three instances that saw one crash each have the same verdict', () => {
+test('three instances that each observed one crash all quarantine the request', () => {
   const clock = new ManualClock(0);
   const instances = [0, 1, 2].map(() => createTable(clock));
   instances.forEach(({crash}, index) =>
@@ -86,7 +86,7 @@
   assert.ok(instances.every(({table}) => table.isQuarantined('poison')));
 });
 
-test('a request that ran beside the poisonous one is not held responsible', () => {
+test('a request that ran on the same upstreams as a quarantined one is not quarantined', () => {
   const {table, crash} = createTable();
   for (const [index, upstream] of ['u1', 'u2'].entries()) {
     crash(GOOD, upstream, index * 1000);
@@ -99,7 +99,7 @@
   assert.equal(table.countCrashes('good'), 1);
 });
 
-test('an operator releases a request on all instances, once', () => {
+test('releasing a request on one instance releases it on all, and a second release has no effect', () => {
   const first = createTable();
   const second = createTable(first.clock);
   ['u1', 'u2', 'u3'].forEach((upstream, index) =>
@@ -118,7 +118,7 @@
   ]);
 });
 
-test('what is known already is no news, so that messages between instances end', () => {
+test('a report of known state does not notify listeners, so that gossip ends', () => {
   const {table, changes, crash} = createTable();
   crash(POISON, 'u1', 0);
   assert.equal(changes.count, 1);
@@ -126,7 +126,7 @@
   assert.equal(changes.count, 1);
 });
 
-test('a workspace that varies its requests cannot push out what is known of another one', () => {
+test('a workspace that varies its requests cannot evict the entries of another one', () => {
   const {table, crash} = createTable();
   ['u1', 'u2', 'u3'].forEach((upstream, index) =>
     crash(POISON, upstream, index * 1000),
@@ -143,7 +143,7 @@
   assert.equal(table.listReports()[0].fingerprint, 'poison');
 });
 
-test('a request that no caller sends any more is forgotten', async () => {
+test('a request that no caller sends any more is removed after its retention', async () => {
   const {clock, table, crash} = createTable();
   ['u1', 'u2', 'u3'].forEach((upstream, index) =>
     crash(POISON, upstream, index * 1000),
--- a/packages/quarantine/src/suspect-table.ts
+++ b/packages/quarantine/src/suspect-table.ts
@@ -12,7 +12,7 @@
   type UpstreamCrash,
 } from './suspect.ts';
 
-/** A request, as far as suspicion needs to know it. */
+/** Identity of a request that may be suspected of crashing upstreams. */
 export interface SuspectRequest {
   readonly fingerprint: string;
   readonly service: string;
@@ -25,23 +25,23 @@
   readonly logger: EventLogger;
 }
 
-/** Requests that are remembered, at most. */
+/** Maximum number of requests in the table. */
 const MAX_SUSPECTS = 512;
-/** Requests that a peer is told of in one message; a few kilobytes. */
+/** Bounds the size of a message to a peer to a few kilobytes. */
 const MAX_REPORTS = 32;
 /**
- * Milliseconds without a caller after which a suspected request is forgotten, and
- * milliseconds after its last crash where none is held against it.
+ * Retention of a suspected request after a caller last sent it, and of a request without
+ * unrefuted crashes after its last change.
  */
 const SUSPECT_IDLE_MS = 10 * 60_000;
-/** Milliseconds without a caller after which a quarantined request is forgotten. */
+/** Retention of a quarantined request after a caller last sent it. */
 const QUARANTINE_IDLE_MS = 60 * 60_000;
-/** Milliseconds for which peers are told of a request that is not quarantined. */
+/** Milliseconds for which a change of a request that is not quarantined is reported to peers. */
 const CHANGE_REPORT_MS = 30_000;
 
 /**
- * Requests under which upstreams have crashed, as this instance and its peers saw it.
- * Every instance decides by the same rule, so that no instance has to be reachable.
+ * Requests during which upstreams have crashed, merged from local observations and peer
+ * reports. Every instance applies the same rule, so no central instance is needed.
  */
 export class SuspectTable {
   private readonly parts: SuspectTableParts;
@@ -52,7 +52,7 @@
     this.parts = parts;
   }
 
-  /** Returns whether nothing is suspected, so that no request needs a fingerprint. */
+  /** Returns whether no request is recorded, so that no fingerprints have to be computed. */
   isEmpty(): boolean {
     return this.suspects.size === 0;
   }
@@ -61,7 +61,7 @@
     return this.suspects.get(fingerprint)?.isQuarantined === true;
   }
 
-  /** Counts the crashes one after the other that are held against a request. */
+  /** Counts the sequential crashes of a request that no quarantined request explains. */
   countCrashes(fingerprint: string): number {
     const suspect = this.suspects.get(fingerprint);
     return suspect ? this.countUnexplained(suspect) : 0;
@@ -75,19 +75,19 @@
     return [...this.suspects.values()].filter(isSuspected).length;
   }
 
-  /** Lists the requests that are refused, as they are told to peers. */
+  /** Lists the quarantined requests as reports for the store. */
   listVerdicts(): SuspectReport[] {
     this.removeIdle();
     const nowMs = this.parts.clock.getNow();
     return this.listQuarantined().map(suspect => toReport(suspect, nowMs));
   }
 
-  /** Adds a function that is called when peers should be told. */
+  /** Adds a listener that is called when the crashes or the quarantine of a request change. */
   addChangeListener(listener: () => void): void {
     this.changeListeners.push(listener);
   }
 
-  /** Notes that a caller has sent a request. */
+  /** Records that a caller has sent a request, which extends its retention. */
   recordSeen(fingerprint: string): void {
     const suspect = this.suspects.get(fingerprint);
     if (!suspect) return;
@@ -95,7 +95,7 @@
     this.suspects.set(fingerprint, {...suspect, seenAtMs});
   }
 
-  /** Notes that an upstream has crashed while it ran a request. */
+  /** Records that an upstream crashed while it ran a request. */
   recordCrash(request: SuspectRequest, crash: UpstreamCrash): void {
     const nowMs = this.parts.clock.getNow();
     this.mergeSuspect({
@@ -107,14 +107,14 @@
     });
   }
 
-  /** Notes that an upstream has answered a request. */
+  /** Records that an upstream answered a request, which refutes all its crashes. */
   recordServed(fingerprint: string): void {
     const suspect = this.suspects.get(fingerprint);
     if (!suspect || !isSuspected(suspect)) return;
     this.releaseSuspect(suspect, 'request.cleared');
   }
 
-  /** Ends a quarantine by an operator's order; returns whether there was one. */
+  /** Ends a quarantine at the request of an operator; returns whether there was one. */
   releaseRequest(fingerprint: string): boolean {
     const suspect = this.suspects.get(fingerprint);
     if (!suspect?.isQuarantined) return false;
@@ -122,7 +122,11 @@
     return true;
   }
 
-  /** Takes what a peer or the store tells. */
+  /**
+   * Merges the reports of a peer or of the store.
+   *
+   * @param source Origin of the reports, for the log.
+   */
   applyReports(reports: readonly SuspectReport[], source: string): void {
     const nowMs = this.parts.clock.getNow();
     for (const report of reports) {
@@ -130,7 +134,7 @@
     }
   }
 
-  /** Lists what peers should know, the most important first. */
+  /** Lists quarantines and recent changes to report to peers, most important first. */
   listReports(): SuspectReport[] {
     this.removeIdle();
     const nowMs = this.parts.clock.getNow();
@@ -169,7 +173,7 @@
     return {...suspect, isQuarantined};
   }
 
-  // What ran beside a request that is known to crash upstreams is not their cause.
+  // A request is not blamed for the crash of an upstream that also ran a quarantined request.
   private countUnexplained({crashes, fingerprint}: Suspect): number {
     const explained = this.listQuarantined()
       .filter(each => each.fingerprint !== fingerprint)
@@ -196,7 +200,8 @@
     }
   }
 
-  // A caller that varies its requests pushes out its own ones, not those of others.
+  // Evicts from the workspace with the most entries, so that a caller that varies its
+  // requests evicts its own entries and not those of other workspaces.
   private removeExcess(): void {
     while (this.suspects.size > MAX_SUSPECTS) {
       const workspace = findFullestWorkspace([...this.suspects.values()]);
@@ -239,7 +244,7 @@
   return nowMs - seenAtMs > limitMs;
 }
 
-// Quarantined ones first, then those with the newest news.
+// Quarantined requests first, then the most recently changed ones.
 function compareUrgency(left: Suspect, right: Suspect): number {
   const byVerdict = Number(right.isQuarantined) - Number(left.isQuarantined);
   return byVerdict || right.changedAtMs - left.changedAtMs;
--- a/packages/quarantine/src/suspect.test.ts
+++ b/packages/quarantine/src/suspect.test.ts
@@ -36,7 +36,7 @@
   };
 }
 
-test('crashes one after the other count, whoever saw them', () => {
+test('sequential crashes count, whatever their order in the list', () => {
   const crashes = [
     createCrash('u3', 700, 800),
     createCrash('u1', 0, 100),
@@ -45,19 +45,19 @@
   assert.equal(countSequentialCrashes(crashes, NONE), 3);
 });
 
-test('upstreams that end in the same moment under a popular request count once', () => {
+test('simultaneous crashes of upstreams that run the same request count once', () => {
   const crashes = ['u1', 'u2', 'u3', 'u4'].map((id, index) =>
     createCrash(id, index, 500 + index),
   );
   assert.equal(countSequentialCrashes(crashes, NONE), 1);
 });
 
-test('a retry sent right after the crash counts, though ages are told a little late', () => {
+test('a crash counts although its attempt seems sent shortly before the previous crash ended', () => {
   const crashes = [createCrash('u1', 0, 130), createCrash('u2', 100, 200)];
   assert.equal(countSequentialCrashes(crashes, NONE), 2);
 });
 
-test('refuted crashes and those of another request do not count', () => {
+test('refuted crashes and crashes explained by another request do not count', () => {
   const crashes = [
     createCrash('u1', 0, 100, true),
     createCrash('u2', 300, 400),
@@ -66,7 +66,7 @@
   assert.equal(countSequentialCrashes(crashes, new Set(['u3'])), 1);
 });
 
-test('an answer refutes what is known, and a peer that does not know it cannot bring it back', () => {
+test('an answer refutes all crashes, and a stale peer report does not restore them', () => {
   const known = createSuspect([createCrash('u1', 0, 100)], true);
   const served = recordServed(known, 500);
   const merged = mergeSuspects(served, known);
@@ -80,7 +80,7 @@
   assert.equal(countSequentialCrashes(later.crashes, NONE), 1);
 });
 
-test('refuted crashes give way to new ones where the list is full', () => {
+test('a new crash replaces a refuted one if the list is full', () => {
   const old = Array.from({length: 6}, (_, index) =>
     createCrash(`old-${index}`, index, index, true),
   );
@@ -111,7 +111,7 @@
   return `${isQuarantined} ${rows.sort().join(', ')}`;
 }
 
-test('instances that hear the same in another order, or twice, come to the same', () => {
+test('merging is commutative and idempotent, so that instances agree whatever the order of messages', () => {
   fc.assert(
     fc.property(suspectArbitrary, suspectArbitrary, (left, right) => {
       const one = mergeSuspects(left, right);
--- a/packages/quarantine/src/suspect.ts
+++ b/packages/quarantine/src/suspect.ts
@@ -1,44 +1,44 @@
-/** A life of an upstream that ended while it ran a request. */
+/** A crash of an upstream process while it ran a request. */
 export interface UpstreamCrash {
-  /** Id of the upstream's life; one life crashes once. */
+  /** Id of the upstream's incarnation, which can crash only once. */
   readonly upstream: string;
-  /** When the request was sent there, in milliseconds of this instance's clock. */
+  /** When the request was sent to it, in milliseconds of this instance's clock. */
   readonly sentAtMs: number;
   readonly endedAtMs: number;
-  /** Whether the same request was answered since, so that it was not the cause. */
+  /** Whether an upstream has answered the request since, so that it was not the cause. */
   readonly isRefuted: boolean;
 }
 
-/** A request under which upstreams have crashed; a plain value that transitions replace. */
+/** A request during which upstreams have crashed; immutable, each change creates a new value. */
 export interface Suspect {
   readonly fingerprint: string;
   readonly service: string;
   /** Workspace of the caller; empty for a public route. */
   readonly workspace: string;
   readonly isQuarantined: boolean;
-  /** When a caller last sent it, here or elsewhere. */
+  /** When a caller last sent it, to this instance or another one. */
   readonly seenAtMs: number;
-  /** When this instance last learnt of a crash, an answer or a verdict. */
+  /** When this instance last recorded a crash, an answer or a quarantine. */
   readonly changedAtMs: number;
   readonly crashes: readonly UpstreamCrash[];
 }
 
-/** Crashes one after the other by which a request is taken for their cause. */
+/** Number of sequential crashes from which on a request is quarantined. */
 export const QUARANTINE_CRASHES = 3;
-/** Crashes kept of one request; more do not change the verdict. */
+/** Maximum crashes stored per request; more do not change the decision. */
 const MAX_CRASHES = 6;
 /**
- * Milliseconds by which times that peers tell may be off: they are told as ages, and a
- * message takes its time.
+ * Tolerance for times in peer reports. They are sent as ages, which exclude the transit
+ * time of the message.
  */
 const AGE_TOLERANCE_MS = 50;
 
 /**
- * Counts crashes that followed one another: each under an attempt that was sent after
- * the one before had ended. Crashes at the same time may have one cause of their own,
- * and say of a request that many send no more than one of them does.
+ * Counts sequential crashes: each during an attempt that was sent after the previous crash.
+ * Simultaneous crashes may have a common cause other than the request. For a request that
+ * many callers send, they are no stronger evidence than a single crash.
  *
- * @param explained Lives whose crash is put down to another request.
+ * @param explained Ids of upstreams whose crash is attributed to another request.
  */
 export function countSequentialCrashes(
   crashes: readonly UpstreamCrash[],
@@ -57,12 +57,12 @@
   return count;
 }
 
-/** Returns whether a crash is held against a request. */
+/** Returns whether a request has a crash that is not refuted. */
 export function isSuspected({crashes}: Suspect): boolean {
   return crashes.some(({isRefuted}) => !isRefuted);
 }
 
-/** Returns the suspect after a request was answered: no crash so far is held against it. */
+/** Returns the suspect after an upstream answered its request: all crashes are refuted. */
 export function recordServed(suspect: Suspect, nowMs: number): Suspect {
   return {
     ...suspect,
@@ -73,8 +73,8 @@
 }
 
 /**
- * Joins what two instances know of a request. A crash that one of them knows to be refuted
- * stays so, which makes the order of messages irrelevant.
+ * Merges what two instances know of a request. A crash that either of them reports as
+ * refuted stays refuted, so the order of messages is irrelevant.
  */
 export function mergeSuspects(known: Suspect, reported: Suspect): Suspect {
   const crashes = mergeCrashes(known.crashes, reported.crashes);
@@ -91,7 +91,7 @@
   };
 }
 
-/** Returns whether there is anything about a request that was not known. */
+/** Returns whether the crashes or the quarantine differ from the known state. */
 export function hasChanged(
   known: Suspect | undefined,
   suspect: Suspect,
@@ -102,7 +102,7 @@
   );
 }
 
-// Returns `known` itself where nothing is added.
+// Returns `known` itself if nothing changes; `hasChanged` compares the references.
 function mergeCrashes(
   known: readonly UpstreamCrash[],
   reported: readonly UpstreamCrash[],
@@ -118,7 +118,7 @@
   return merged;
 }
 
-// Where the list is full, a refuted crash gives way to one that is not.
+// If the list is full, a new crash that is not refuted replaces a refuted one.
 function addCrash(
   crashes: readonly UpstreamCrash[],
   crash: UpstreamCrash,
--- a/packages/quarantine/src/verdict-persister.test.ts
+++ b/packages/quarantine/src/verdict-persister.test.ts
@@ -11,7 +11,7 @@
 import {test} from 'node:test';
 import {SuspectTable, VerdictPersister} from './index.ts';
 
-/** The keys of a store that may be away. */
+/** In-memory key-value store that can be made unavailable. */
 class KeyStore {
   readonly values = new Map<string, string>();
   isUnavailable = false;
@@ -48,7 +48,7 @@
 
   private countCall(): void {
     this.callCount += 1;
-    if (this.isUnavailable) throw new StoreError('away', 'none');
+    if (this.isUnavailable) throw new StoreError('store unavailable', 'none');
   }
 }
 
@@ -86,7 +86,7 @@
   );
 }
 
-test('a verdict outlives the loss of all instances', async () => {
+test('a verdict survives the loss of all instances', async () => {
   const clock = new ManualClock(0);
   const store = new KeyStore();
   const lost = startInstance(clock, store);
@@ -100,7 +100,7 @@
   next.persister.stop();
 });
 
-test('a verdict is written once, by the coordinator alone, and a calm fleet costs one call', async () => {
+test('only the coordinator writes a verdict, once, and a fleet without verdicts makes one store call', async () => {
   const clock = new ManualClock(0);
   const store = new KeyStore();
   const instances = [true, false, false].map(isInitialCoordinator =>
@@ -114,7 +114,7 @@
   for (const {persister} of instances) persister.stop();
 });
 
-test('a verdict is written when the store is back, and again before its lease ends', async () => {
+test('a verdict is written when the store recovers, and again before its lease ends', async () => {
   const clock = new ManualClock(0);
   const store = new KeyStore();
   const {table, persister} = startInstance(clock, store);
@@ -131,7 +131,7 @@
   persister.stop();
 });
 
-test('a verdict that has ended is taken out of the store', async () => {
+test('a verdict that has ended is deleted from the store', async () => {
   const clock = new ManualClock(0);
   const store = new KeyStore();
   const {table, persister} = startInstance(clock, store);
@@ -143,7 +143,7 @@
   persister.stop();
 });
 
-test('a next coordinator writes what the last one could not', async () => {
+test('a new coordinator writes a verdict that is missing in the store', async () => {
   const clock = new ManualClock(0);
   const store = new KeyStore();
   const {table, role, persister} = startInstance(clock, store, false);
@@ -156,7 +156,7 @@
   persister.stop();
 });
 
-test('an entry that cannot be read hides no other one', async () => {
+test('an unreadable entry does not prevent other verdicts from being read', async () => {
   const clock = new ManualClock(0);
   const store = new KeyStore();
   const writer = startInstance(clock, store);
@@ -171,7 +171,7 @@
   reader.persister.stop();
 });
 
-test('a verdict that a restored store lacks is written again', async () => {
+test('a verdict that is missing after a store restore is written again', async () => {
   const clock = new ManualClock();
   const store = new KeyStore();
   const {table, persister} = startInstance(clock, store);
--- a/packages/quarantine/src/verdict-persister.ts
+++ b/packages/quarantine/src/verdict-persister.ts
@@ -16,30 +16,33 @@
 export interface VerdictPersisterParts {
   readonly clock: Clock;
   readonly logger: EventLogger;
-  /** Returns numbers from 0 to below 1. */
+  /** Draws from 0 to below 1. */
   readonly random: () => number;
   readonly store: Pick<
     KeyValueStore,
     'readRange' | 'runTransaction' | 'grantLease' | 'getHistoryId'
   >;
   readonly table: Pick<SuspectTable, 'listVerdicts' | 'applyReports'>;
-  /** Returns whether this instance coordinates, and so writes for all. */
+  /** Returns whether this instance is the coordinator, which alone uses the store. */
   readonly isCoordinator: () => boolean;
 }
 
-/** Milliseconds between two looks at what the store lacks. */
+/** Interval at which the store is brought up to date. */
 const SYNC_INTERVAL_MS = 500;
 
 /**
- * Keeps verdicts in the store, so that they outlive the loss of all instances. Only the
- * coordinator reads and writes them; the others hear of them from their peers.
+ * Persists verdicts in the store, so that they survive the loss of all instances. Only the
+ * coordinator reads and writes them; other instances receive them from their peers.
  */
 export class VerdictPersister {
   private readonly parts: VerdictPersisterParts;
   private readonly task: RepeatingTask;
-  /** When each verdict was written or read; undefined while another instance writes. */
+  /**
+   * When each verdict was last written or read, by fingerprint; undefined until the
+   * verdicts are read, and while another instance coordinates.
+   */
   private written: Map<string, number> | undefined;
-  /** Store history to which `written` applies. */
+  /** Store history to which `written` applies; it changes when the store is restored. */
   private historyId = '';
   private hasFailed = false;
 
@@ -51,7 +54,7 @@
     });
   }
 
-  /** Keeps verdicts until stopped. */
+  /** Persists verdicts periodically until stopped. */
   start(): Promise<void> {
     return this.task.start();
   }
@@ -73,7 +76,7 @@
       await this.writeChanges(this.written);
       this.hasFailed = false;
     } catch (error) {
-      // The next look tries again; every instance refuses the requests meanwhile.
+      // The next run retries; meanwhile every instance refuses the requests from memory.
       if (!this.hasFailed) this.logFailure(error);
       this.hasFailed = true;
     }
@@ -121,7 +124,8 @@
     try {
       return [decodeVerdict(value)];
     } catch (error) {
-      // Of a later version, or of another writer: it names no request to refuse.
+      // A later version or another program may have written the entry. It identifies no
+      // request to refuse, and must not prevent the others from being read.
       this.logFailure(error, key);
       return [];
     }
--- a/packages/quarantine/src/verdict-plan.ts
+++ b/packages/quarantine/src/verdict-plan.ts
@@ -1,24 +1,25 @@
 import {suspectReportSchema, type SuspectReport} from '@hollowstack/types';
 
-/** Store prefix of the requests that are refused. */
+/** Store key prefix of the quarantined requests. */
 export const VERDICT_PREFIX = 'hollowstack/quarantine/';
 
-/** Milliseconds for which a verdict outlives its last writing; stores allow ten minutes. */
+/** Lease of a verdict in the store; stores allow leases of ten minutes. */
 export const VERDICT_LEASE_MS = 10 * 60_000;
-/** Share of the lease after which a verdict that still holds is written again. */
+/** Fraction of the lease after which a verdict that still applies is written again. */
 const REWRITE_SHARE = 0.5;
 
-/** What is to be changed in the store. */
+/** Changes to make in the store. */
 export interface VerdictPlan {
   readonly writes: readonly SuspectReport[];
-  /** Fingerprints whose verdict has ended. */
+  /** Fingerprints whose quarantine has ended. */
   readonly removals: readonly string[];
 }
 
 /**
- * Assembles what the store lacks.
+ * Compares the current verdicts with those in the store.
  *
- * @param written When each verdict in the store was written or read, by fingerprint.
+ * @param verdicts Requests that are quarantined now.
+ * @param written When each verdict in the store was last written or read, by fingerprint.
  */
 export function assembleVerdictPlan(
   verdicts: readonly SuspectReport[],
@@ -36,20 +37,20 @@
   };
 }
 
-/** Returns the key of a verdict. */
+/** Returns the store key of a verdict. */
 export function getVerdictKey(fingerprint: string): string {
   return VERDICT_PREFIX + fingerprint;
 }
 
-/** Encodes a verdict for the store. */
+/** Encodes a verdict as JSON for the store. */
 export function encodeVerdict(report: SuspectReport): string {
   return JSON.stringify(report);
 }
 
 /**
- * Decodes a verdict.
+ * Decodes a verdict from the store.
  *
- * @throws SyntaxError or ZodError for anything else.
+ * @throws SyntaxError for invalid JSON, ZodError if it does not match the schema.
  */
 export function decodeVerdict(text: string): SuspectReport {
   return suspectReportSchema.parse(JSON.parse(text));
