--- a/packages/upstream-limits/src/limit-table.ts
+++ b/packages/upstream-limits/src/limit-table.ts
@@ -121,10 +121,10 @@
   }
 
   /**
-   * Moves a limit to the new life of a restarted upstream if it was observed after the
-   * restart, and drops it otherwise.
+   * Moves a limit to the new incarnation of a restarted upstream if it was observed after
+   * the restart, and drops it otherwise.
    *
-   * @param startedAtMs When the new life began, in Unix milliseconds.
+   * @param startedAtMs When the new incarnation started, in Unix milliseconds.
    */
   replaceIncarnation(before: string, after: string, startedAtMs: number): void {
     const known = this.limits.get(before);
