--- a/packages/upstream-signals/src/answer-signals.ts
+++ b/packages/upstream-signals/src/answer-signals.ts
@@ -1,26 +1,26 @@
 import type {IncomingMessage} from 'node:http';
 
-/** Status and headers of an answer; header names in small letters. */
+/** Status and headers of an answer; header names are in lower case. */
 export interface AnswerHead {
   /** HTTP status. */
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
 }
 
-/** Returns the head of an answer as Node's client gives it. */
+/** Converts a response of Node's HTTP client. */
 export function toAnswerHead(head: IncomingMessage): AnswerHead {
   return {status: head.statusCode ?? 0, headers: head.headers};
 }
 
-/** What an answer tells of an upstream beside what was asked. */
+/** What an answer signals about its upstream, in addition to the result. */
 export interface AnswerSignals {
-  /** Whether another upstream gave the answer than the one that was called. */
+  /** Whether the answer is from another upstream than the one that was called. */
   readonly isFromOtherUpstream: boolean;
-  /** Whether the upstream says that it leaves. */
+  /** Whether the upstream announces that it shuts down. */
   readonly isLeaving: boolean;
   /**
-   * How long the upstream wants no work, as it wrote it (HTTP `Retry-After`);
-   * undefined where it turned nothing away or named no time.
+   * Requested back-off: the unparsed value of HTTP `Retry-After`; undefined if the upstream
+   * did not refuse the request or named no time.
    */
   readonly retryAfter: string | undefined;
   /**
@@ -30,7 +30,7 @@
   readonly limit: string | undefined;
 }
 
-/** Finds the signals in an answer; an adapter knows their names. */
+/** Reads the signals of an answer; implemented by the adapter that knows the header names. */
 export abstract class SignalProtocol {
   /** @param upstreamId Id of the upstream that was called. */
   abstract readSignals(head: AnswerHead, upstreamId: string): AnswerSignals;
--- a/packages/upstream-signals/src/back-off-table.ts
+++ b/packages/upstream-signals/src/back-off-table.ts
@@ -16,14 +16,14 @@
 
 interface BackOffEntry {
   backOff: BackOff;
-  /** When the upstream last asked, in milliseconds of this instance's clock. */
+  /** When the upstream last requested it, in milliseconds of this instance's clock. */
   readonly requestedAtMs: number;
   timer: Timer;
 }
 
 /**
- * The upstreams that asked this instance for no work for a time. What others were
- * asked is their affair: an upstream may be full for one and have room for another.
+ * Back-offs that upstreams requested from this instance. They are not shared with other
+ * instances: an upstream may refuse one caller and still have capacity for another.
  */
 export class BackOffTable {
   private readonly parts: BackOffTableParts;
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Notes that an upstream wants no work.
+   * Begins or extends the back-off of an upstream.
    *
    * @param durationMs Milliseconds from now.
    */
@@ -52,10 +52,10 @@
   }
 
   /**
-   * Has what an upstream asked for after it had started again hold for its new life, where
-   * it was noted of the one before.
+   * Applies the back-off of a restarted upstream to its new incarnation if it was requested
+   * after the restart; it was then recorded for the previous id.
    *
-   * @param startedAtMs When the new life began, in Unix milliseconds.
+   * @param startedAtMs When the new incarnation started, in Unix milliseconds.
    */
   replaceIncarnation(before: string, after: string, startedAtMs: number): void {
     const entry = this.entries.get(before);
@@ -65,13 +65,13 @@
     }
   }
 
-  /** Returns whether work may go to an upstream now, as far as it was asked for none. */
+  /** Returns whether the back-off of an upstream, if any, allows a send now. */
   maySend(id: string): boolean {
     const backOff = this.findBackOff(id);
     return !backOff || maySend(backOff, this.parts.clock.getNow());
   }
 
-  /** Returns whether work that is sent now may be, and counts it if so. */
+  /** Counts a send if the back-off allows it now; returns whether it did. */
   acquireSend(id: string): boolean {
     const entry = this.entries.get(id);
     if (!entry || !this.findBackOff(id)) return true;
@@ -81,19 +81,19 @@
     return true;
   }
 
-  /** Returns milliseconds until an upstream takes some work again, 0 for one that does. */
+  /** Returns the milliseconds until an upstream accepts work again; 0 if it does now. */
   getWaitMs(id: string): number {
     const backOff = this.findBackOff(id);
     if (!backOff) return 0;
     return Math.max(0, backOff.untilMs - this.parts.clock.getNow());
   }
 
-  /** Counts the upstreams that want no work now. */
+  /** Counts the upstreams whose back-off has not ended; slow starts do not count. */
   countBackingOff(): number {
     return [...this.entries.keys()].filter(id => this.getWaitMs(id) > 0).length;
   }
 
-  /** Cancels the timers, so that nothing is left to keep a process that stops. */
+  /** Cancels the timers, so that they do not keep a stopping process alive. */
   stop(): void {
     for (const {timer} of this.entries.values()) timer.cancel();
     this.entries.clear();
--- a/packages/upstream-signals/src/back-off.test.ts
+++ b/packages/upstream-signals/src/back-off.test.ts
@@ -8,7 +8,7 @@
   type BackOff,
 } from './back-off.ts';
 
-/** Counts what may be sent from a moment on, one piece after the other. */
+/** Sends as many requests as are allowed at a time; returns their number and the new state. */
 function countSends(backOff: BackOff, nowMs: number): [number, BackOff] {
   let state = backOff;
   let count = 0;
@@ -19,20 +19,20 @@
   return [count, state];
 }
 
-test('nothing is sent until the time is over', () => {
+test('nothing may be sent until the back-off ends', () => {
   const backOff = recordBackOff(undefined, 3000, 1000);
   assert.equal(maySend(backOff, 1000), false);
   assert.equal(maySend(backOff, 3999), false);
   assert.equal(maySend(backOff, 4000), true);
 });
 
-test('a shorter time asked for later does not end a longer one, a longer one extends it', () => {
+test('a later, shorter back-off does not end a longer one, and a longer one extends it', () => {
   const first = recordBackOff(undefined, 3000, 0);
   assert.equal(recordBackOff(first, 500, 1000).untilMs, 3000);
   assert.equal(recordBackOff(first, 3000, 1000).untilMs, 4000);
 });
 
-test('behind the time twice as much may be sent in each step, and then anything', () => {
+test('after the back-off each step allows twice as many sends, and then any number', () => {
   let state = recordBackOff(undefined, 1000, 0);
   const counts: number[] = [];
   for (const nowMs of [1000, 1100, 1200, 1300, 1400]) {
@@ -45,12 +45,12 @@
   assert.equal(isOver(state, 1500), true);
 });
 
-test('a step in which nothing was sent opens the next one all the same', () => {
+test('the slow start proceeds by time, also if nothing was sent in a step', () => {
   const backOff = recordBackOff(undefined, 1000, 0);
   assert.deepEqual(countSends(backOff, 1350)[0], 16);
 });
 
-test('an upstream that asks anew in its slow start is left alone again', () => {
+test('a back-off requested during the slow start stops sends again', () => {
   const [, slow] = countSends(recordBackOff(undefined, 1000, 0), 1000);
   const again = recordBackOff(slow, 1000, 1050);
   assert.equal(maySend(again, 1200), false);
--- a/packages/upstream-signals/src/back-off.ts
+++ b/packages/upstream-signals/src/back-off.ts
@@ -1,27 +1,27 @@
-/** A time for which an upstream wants no work, and the slow start behind it. */
+/** A period in which an upstream accepts no work, and the slow start after it. */
 export interface BackOff {
-  /** End of the time, in milliseconds of the steady clock. */
+  /** End of the period, in milliseconds of the monotonic clock. */
   readonly untilMs: number;
-  /** Step of the slow start in which work was last sent. */
+  /** Step of the slow start in which a request was last sent. */
   readonly step: number;
-  /** Pieces of work sent in that step. */
+  /** Requests sent in that step. */
   readonly sentCount: number;
 }
 
 /**
- * Milliseconds of a step of the slow start. An upstream that still turns work away
- * answers within some milliseconds and a round trip, so a step's refusals are there
- * before the next one; the shortest objectives are a few steps long.
+ * Duration of a step of the slow start. An upstream that still refuses work answers within
+ * some milliseconds plus a round trip, so the refusals of a step arrive before the next one
+ * begins. The shortest latency objectives are a few steps long.
  */
 const STEP_MS = 100;
-/** Pieces of work that one instance may send in the first step; doubled in each one. */
+/** Requests that one instance may send in the first step; doubled in each further step. */
 const FIRST_STEP_SENDS = 2;
-/** Steps until an upstream gets whatever there is: some sixty pieces were let through. */
+/** Steps until sends are unlimited; about sixty requests are let through by then. */
 const STEP_COUNT = 5;
 
 /**
- * Returns the state after an upstream asked for no work. A shorter time does not end
- * one that is longer: both were asked for.
+ * Returns the state after an upstream requested a back-off. A shorter period does not end a
+ * longer one, because the upstream requested both.
  *
  * @param durationMs Milliseconds from now.
  */
@@ -35,9 +35,9 @@
 }
 
 /**
- * Returns whether work may go to the upstream now. When its time is over all that was
- * kept from it would come at once, from every instance; so each of them begins with
- * little and doubles it step by step, unless the upstream asks anew.
+ * Returns whether a request may be sent to the upstream now. At the end of the back-off, the
+ * held-back requests of all instances would arrive at once, so each instance begins with few
+ * and doubles them in each step, until the upstream requests another back-off.
  */
 export function maySend(backOff: BackOff, nowMs: number): boolean {
   if (nowMs < backOff.untilMs) return false;
@@ -46,14 +46,14 @@
   return sentCount < FIRST_STEP_SENDS * 2 ** step;
 }
 
-/** Returns the state after work was sent. */
+/** Returns the state after a request was sent. */
 export function recordSend(backOff: BackOff, nowMs: number): BackOff {
   const step = computeStep(backOff, nowMs);
   const sentCount = step === backOff.step ? backOff.sentCount : 0;
   return {...backOff, step, sentCount: sentCount + 1};
 }
 
-/** Returns whether the upstream is treated like any other again. */
+/** Returns whether the back-off and its slow start are over. */
 export function isOver(backOff: BackOff, nowMs: number): boolean {
   return nowMs >= backOff.untilMs && computeStep(backOff, nowMs) >= STEP_COUNT;
 }
--- a/packages/upstream-signals/src/index.ts
+++ b/packages/upstream-signals/src/index.ts
@@ -1,4 +1,4 @@
-/** What upstreams say of themselves in their answers. */
+/** Signals in the answers of upstreams: shutdown, back-off and rate limits. */
 export {
   SignalProtocol,
   toAnswerHead,
--- a/packages/upstream-signals/src/upstream-signals.test.ts
+++ b/packages/upstream-signals/src/upstream-signals.test.ts
@@ -25,7 +25,7 @@
   }
 }
 
-/** Headers of the tests: `from-other`, `leaving`, `retry-after`, `limit`. */
+/** Reads the test headers `from-other`, `leaving`, `retry-after` and `limit`. */
 class TestProtocol extends SignalProtocol {
   readSignals({headers}: AnswerHead): AnswerSignals {
     const retryAfter = headers['retry-after'];
@@ -79,7 +79,7 @@
   };
 }
 
-test('an upstream that names a time is left alone for it, and nobody else is', async () => {
+test('a retry time stops sends to its upstream for that time, and to no other one', async () => {
   const {clock, logger, backOffs, answer, listNames} = createSignals();
   answer({'retry-after': '1.5'});
   assert.equal(backOffs.maySend('u1'), false);
@@ -108,7 +108,7 @@
   ]);
 });
 
-test('answers of what was under way are one event, and the longest time holds', async () => {
+test('refusals of in-flight requests are logged once, and the longest back-off applies', async () => {
   const {clock, backOffs, answer, listNames, countSignal} = createSignals();
   answer({'retry-after': '3'});
   await clock.advance(400);
@@ -119,7 +119,7 @@
   assert.equal(countSignal('back-off'), 3);
 });
 
-test('of 50 that are sent at once when the time is over two are let through', async () => {
+test('two of 50 simultaneous sends are allowed when the back-off ends', async () => {
   const {clock, backOffs, answer} = createSignals();
   answer({'retry-after': '1'});
   await clock.advance(1000);
@@ -130,17 +130,17 @@
   assert.ok(later.every(isSent => isSent));
 });
 
-test('a pause of the process counts towards the time', async () => {
+test('a pause of the process counts towards the back-off', async () => {
   const {clock, backOffs, answer} = createSignals();
   answer({'retry-after': '2'});
-  // Nothing runs for five seconds; then the first question comes before any timer.
+  // The process is paused for five seconds; the first query comes before any timer.
   const paused = new ManualClock(clock.getNow() + 5000);
   clock.getNow = () => paused.getNow();
   assert.equal(backOffs.maySend('u1'), true);
   assert.equal(backOffs.getWaitMs('u1'), 0);
 });
 
-test('a time that a new life asked for before it was known holds for it, one of the life before does not', async () => {
+test('a back-off applies to a restarted upstream only if it was requested after the restart', async () => {
   for (const isLater of [true, false]) {
     const {clock, backOffs, answer} = createSignals();
     if (!isLater) answer({'retry-after': '3'});
@@ -152,7 +152,7 @@
   }
 });
 
-test('a time that is absurdly long is cut', () => {
+test('a back-off is capped at a minute', () => {
   for (const value of ['86400', '9'.repeat(400)]) {
     const {backOffs, answer} = createSignals();
     answer({'retry-after': value});
@@ -160,7 +160,7 @@
   }
 });
 
-test('what is no number of seconds is logged once an upstream, counted, and asks for nothing', () => {
+test('a retry time that is no number of seconds is logged once per upstream, counted and begins no back-off', () => {
   const dateText = 'Fri, 04 Dec 2026 10:00:00 GMT';
   const values = ['', 'soon', dateText, '-3', 'NaN', '3, 5', '1e3', '3s', '+3'];
   const {backOffs, answer, listNames, countSignal} = createSignals();
@@ -174,7 +174,7 @@
   assert.equal(countSignal('unreadable'), values.length + 1);
 });
 
-test('a time of nothing asks for nothing', () => {
+test('a retry time of 0 begins no back-off', () => {
   const {backOffs, answer, listNames} = createSignals();
   answer({'retry-after': '0'});
   answer({'retry-after': '0.0'});
@@ -182,7 +182,7 @@
   assert.deepEqual(listNames(), []);
 });
 
-test('an upstream says for itself alone that it leaves', () => {
+test('an announced shutdown applies only to the upstream that sent the answer', () => {
   const {leaving, answer, countSignal} = createSignals();
   answer({leaving: '1'}, 'u2');
   answer({leaving: '1', 'from-other': '1', 'retry-after': '3'}, 'u1');
@@ -190,7 +190,7 @@
   assert.equal(countSignal('leaving'), 1);
 });
 
-test('no value throws, and none keeps an upstream without work for over a minute', () => {
+test('no retry time throws or begins a back-off of over a minute', () => {
   fc.assert(
     fc.property(fc.string(), fc.boolean(), (value, isNumeric) => {
       const {backOffs, answer} = createSignals();
@@ -241,7 +241,7 @@
   assert.equal(limits.getLimit('u1'), 2);
 });
 
-test('nothing is left to happen after a stop', async () => {
+test('no event is logged after a stop', async () => {
   const {clock, backOffs, answer, listNames} = createSignals();
   answer({'retry-after': '1'});
   backOffs.stop();
--- a/packages/upstream-signals/src/upstream-signals.ts
+++ b/packages/upstream-signals/src/upstream-signals.ts
@@ -12,36 +12,36 @@
   readonly protocol: SignalProtocol;
   readonly backOffs: Pick<BackOffTable, 'beginBackOff' | 'getWaitMs'>;
   readonly limits: Pick<LimitTable, 'recordLimit' | 'recordNoLimit'>;
-  /** Called whenever an upstream says that it leaves. */
+  /** Called for each answer in which an upstream announces that it shuts down. */
   readonly handleLeaving: (upstreamId: string, requestId?: string) => void;
 }
 
-/** An answer, and the upstream that was called. */
+/** An answer and the upstream that was called. */
 export interface SignalAnswer {
   readonly upstream: {readonly id: string; readonly service: string};
   readonly head: AnswerHead;
-  /** Id of the request, or of one of them, that the call was made for. */
+  /** Id of a request that the call served; undefined if it served none. */
   readonly requestId: string | undefined;
   /** When the call was sent, in milliseconds of this instance's clock. */
   readonly sentAtMs: number;
 }
 
-/** Upstreams remembered whose values could not be read, so that each is logged once. */
+/** Bounds the record of logged unreadable values, each of which is logged once per upstream. */
 const MAX_LOGGED_UNREADABLE = 1000;
-/** Characters of such a value in the log. */
+/** Length to which an unreadable value is truncated in the log. */
 const MAX_LOGGED_CHARACTERS = 40;
 
-/** Takes note of what upstreams say of themselves in their answers. */
+/** Records the signals in the answers of upstreams. */
 export class UpstreamSignals {
   private readonly parts: UpstreamSignalsParts;
-  /** Event name and upstream id of each unreadable value that was logged. */
+  /** Event name and upstream id of the unreadable values that were logged. */
   private readonly loggedUnreadable = new Set<string>();
 
   constructor(parts: UpstreamSignalsParts) {
     this.parts = parts;
   }
 
-  /** Takes the head of an answer, whatever became of the request. */
+  /** Records the signals of an answer, whether or not the request succeeded. */
   recordAnswer(answer: SignalAnswer): void {
     const {protocol, handleLeaving} = this.parts;
     const {upstream, head, requestId} = answer;
@@ -86,7 +86,7 @@
     this.countSignal(answer, 'back-off');
     const wasBackingOff = backOffs.getWaitMs(upstream.id) > 0;
     backOffs.beginBackOff(upstream.id, Math.min(askedMs, MAX_BACK_OFF_MS));
-    // What was under way as the first answer came brings the same word again.
+    // Requests already in flight when the back-off began are refused as well; log it once.
     if (wasBackingOff) return;
     logger.logEvent('upstream.back-off', {
       upstream: upstream.id,
