--- a/packages/freshness/src/freshness-guard.test.ts
+++ b/packages/freshness/src/freshness-guard.test.ts
@@ -60,7 +60,7 @@
   return {clock, logger, table, refresher, guard};
 }
 
-/** Returns how long a refresh takes where it is due, and undefined where it is not. */
+/** Returns the duration of a refresh in milliseconds; undefined if none is due. */
 async function measureRefresh(
   {guard, clock}: ReturnType<typeof createGuard>,
   limitMs = 1000,
@@ -71,7 +71,7 @@
   return clock.getNow() - startedAtMs;
 }
 
-test('a fresh view asks nobody', async () => {
+test('a fresh view is not refreshed', async () => {
   const setup = createGuard();
   const {clock, guard, refresher} = setup;
   await clock.advance(LIMIT_MS);
@@ -80,7 +80,7 @@
   assert.equal(refresher.count, 0);
 });
 
-test('a stale view is refreshed once for all that wait, and each is decided by the fresh one', async () => {
+test('concurrent decisions share one refresh of a stale view and use the fresh view', async () => {
   const setup = createGuard();
   const {clock, guard, refresher, logger} = setup;
   refresher.isConfirming = true;
@@ -93,7 +93,7 @@
   assert.deepEqual(logger.names, ['view.stale', 'view.fresh']);
 });
 
-test('after a refresh that failed decisions go on without waiting while others are tried', async () => {
+test('after a failed refresh decisions do not wait while it is retried', async () => {
   const setup = createGuard();
   const {clock, guard, refresher, logger} = setup;
   await clock.advance(LIMIT_MS + 1);
@@ -118,7 +118,7 @@
   ]);
 });
 
-test('a decision that comes seldom does not wait either, and nothing goes on after a stop', async () => {
+test('occasional decisions do not wait either, and nothing is refreshed after a stop', async () => {
   const setup = createGuard();
   const {clock, guard, refresher} = setup;
   await clock.advance(LIMIT_MS + 1);
@@ -131,7 +131,7 @@
   assert.equal(refresher.count, count);
 });
 
-test('a decision waits again after a pause, in which no refresh was tried', async () => {
+test('a decision waits again after a pause of the process without refreshes', async () => {
   const setup = createGuard();
   const {clock, refresher} = setup;
   await clock.advance(LIMIT_MS + 1);
@@ -141,7 +141,7 @@
   assert.equal(await measureRefresh(setup), ANSWER_MS);
 });
 
-test('what is unknown is refused for good only where peers beyond the own failure domain know nothing newer', async () => {
+test('something unknown is refused for good only if a peer in another failure domain answered', async () => {
   const expected: ReadonlyArray<[PeerReach, boolean]> = [
     ['none', false],
     ['near', false],
--- a/packages/freshness/src/freshness-guard.ts
+++ b/packages/freshness/src/freshness-guard.ts
@@ -10,30 +10,30 @@
   readonly logger: EventLogger;
   readonly metrics: MetricsRegistry;
   readonly table: FreshnessTable;
-  /** Used together by each refresh. */
+  /** All are run concurrently by each refresh. */
   readonly refreshers: readonly ViewRefresher[];
 }
 
-/** Longest milliseconds of a refresh: some answers of a slow peer, a part of any deadline. */
+/** Covers several round trips to a slow peer, and is a fraction of any request deadline. */
 const REFRESH_TIMEOUT_MS = 200;
-/** Milliseconds from the beginning of a refresh that failed to the next one on demand. */
+/** Minimum interval between the starts of a failed refresh and of the next one on demand. */
 const MIN_INTERVAL_MS = 500;
-/** Milliseconds to the next one that nobody asks for. */
+/** Delay after a failed refresh until it is retried without demand. */
 const RETRY_DELAY_MS = 1000;
 /**
- * Milliseconds after a refresh that failed in which decisions go on without waiting for
- * another one. After longer, the process may have stood still.
+ * Time after a failed refresh during which decisions do not wait for another one. It exceeds
+ * the retry delay, so an older failure suggests that the process was paused.
  */
 const FAILURE_TTL_MS = 1500;
 
-/** What a refresh that did not make the view fresh has shown. */
+/** A refresh after which the view was still stale. */
 interface FailedRefresh {
   readonly beganAtMs: number;
   readonly endedAtMs: number;
   readonly reach: PeerReach;
 }
 
-/** Has the view of the store refreshed before something is decided by a stale one. */
+/** Refreshes a stale view of the store before decisions that depend on it. */
 export class FreshnessGuard {
   private readonly parts: FreshnessGuardParts;
   private runningRefresh: Promise<void> | undefined;
@@ -50,7 +50,10 @@
     return this.parts.table.isStale();
   }
 
-  /** Returns whether a decision by what is known should wait for a refresh. */
+  /**
+   * Returns whether a decision should wait for a refresh of the view. If the last refresh
+   * failed recently, starts another one in the background and returns false.
+   */
   isRefreshDue(): boolean {
     if (!this.isStale()) return false;
     const {lastFailure} = this;
@@ -61,7 +64,7 @@
     return false;
   }
 
-  /** Asks the store and peers for evidence; all callers share one refresh. */
+  /** Refreshes the view if it is stale; concurrent callers share one refresh. */
   async refresh(): Promise<void> {
     if (!this.isStale()) return;
     this.startDueRefresh();
@@ -69,15 +72,16 @@
   }
 
   /**
-   * Returns whether something that this instance does not know may be refused for good: its
-   * view is fresh, or nobody that it reaches has a fresh one.
+   * Refreshes a stale view, then returns whether a request for something unknown may be
+   * refused for good: the view is fresh, or the refresh reached `far` peers and found no
+   * fresh view.
    */
   async mayRefuseUnknown(): Promise<boolean> {
     await this.refresh();
     return !this.isStale() || this.lastFailure?.reach === 'far';
   }
 
-  /** Refreshes nothing any more, so that no timer keeps a process that stops. */
+  /** Stops refreshing, so that no timer keeps a stopping process alive. */
   stop(): void {
     this.isStopped = true;
     this.retryTimer?.cancel();
@@ -106,7 +110,7 @@
       table.waitUntilFresh(),
       waitFor(clock, REFRESH_TIMEOUT_MS, timeout.signal).catch(() => {}),
     ]);
-    timeout.abort(new Error('the refresh is over'));
+    timeout.abort(new Error('the refresh has ended'));
     const outcome = table.isStale() ? 'failed' : 'fresh';
     metrics.addToCounter('hollowstack_view_refreshes_total', {outcome});
     if (outcome === 'fresh') return;
@@ -114,7 +118,7 @@
     this.scheduleRetry();
   }
 
-  // A decision that comes now and then need not wait for a refresh of its own.
+  // Keeps the last failure recent, so that occasional decisions do not wait for a refresh.
   private scheduleRetry(): void {
     this.retryTimer?.cancel();
     if (this.isStopped) return;
--- a/packages/freshness/src/freshness-table.test.ts
+++ b/packages/freshness/src/freshness-table.test.ts
@@ -5,7 +5,7 @@
 
 const LIMIT_MS = 2000;
 
-test('the view is as old as the part that is known for longest ago', async () => {
+test('the view is as old as its oldest part', async () => {
   const clock = new ManualClock();
   const table = new FreshnessTable({clock, maxAgeMs: LIMIT_MS});
   const startMs = clock.getNow();
@@ -28,7 +28,7 @@
   });
 });
 
-test('evidence is never taken back, and none reaches ahead of now', async () => {
+test('older evidence does not replace newer evidence, and future evidence counts as now', async () => {
   const clock = new ManualClock();
   const table = new FreshnessTable({clock, maxAgeMs: LIMIT_MS});
   const startMs = clock.getNow();
--- a/packages/freshness/src/freshness-table.ts
+++ b/packages/freshness/src/freshness-table.ts
@@ -5,20 +5,20 @@
 /** A part of an instance's view of the store. */
 export type ViewPart = (typeof VIEW_PARTS)[number];
 
-/** How old the view is, for the log. */
+/** Age of the view, for the log. */
 export interface FreshnessState {
-  /** Milliseconds; undefined before every part was known. */
+  /** Age in milliseconds; undefined until there is evidence of every part. */
   readonly ageMs: number | undefined;
-  /** The part that is known for longest ago. */
+  /** The oldest part, which determines the age. */
   readonly part: ViewPart;
-  /** Who gave the latest evidence of that part; empty before there was any. */
+  /** Source of the latest evidence of that part; empty if there is none. */
   readonly source: string;
 }
 
 /** Dependencies of FreshnessTable. */
 export interface FreshnessTableParts {
   readonly clock: Clock;
-  /** Milliseconds of age from which on the view is stale. */
+  /** Maximum age of a view that is not stale, in milliseconds. */
   readonly maxAgeMs: number;
 }
 
@@ -29,7 +29,7 @@
 
 const NO_EVIDENCE: Evidence = {knownUntilMs: -Infinity, source: ''};
 
-/** Until when an instance knows every change that the store has acknowledged. */
+/** The times up to which this instance knows every change that the store acknowledged. */
 export class FreshnessTable {
   private readonly parts: FreshnessTableParts;
   private readonly evidence = new Map<ViewPart, Evidence>();
@@ -40,10 +40,10 @@
   }
 
   /**
-   * Notes that every change up to a time is known. Earlier evidence than the latest is
-   * passed over.
+   * Records that every change of a part up to a time is known. Older evidence than the
+   * latest is ignored.
    *
-   * @param knownUntilMs Time of the clock; what lies ahead of now counts as now.
+   * @param knownUntilMs In milliseconds of this instance's clock; future times count as now.
    * @param source `store`, `watch` or a peer.
    */
   recordKnown(part: ViewPart, knownUntilMs: number, source: string): void {
@@ -55,12 +55,12 @@
     this.freshWaiter = undefined;
   }
 
-  /** Returns until when a part is known; undefined before there was evidence. */
+  /** Returns the time up to which a part is known; undefined if there is no evidence. */
   getKnownUntilMs(part: ViewPart): number | undefined {
     return this.evidence.get(part)?.knownUntilMs;
   }
 
-  /** Returns milliseconds since all parts were known, or infinity before. */
+  /** Returns the age of the oldest part in milliseconds; Infinity without evidence of it. */
   getAgeMs(): number {
     const untilMs = VIEW_PARTS.map(part => this.getEvidence(part).knownUntilMs);
     return this.parts.clock.getNow() - Math.min(...untilMs);
--- a/packages/freshness/src/index.ts
+++ b/packages/freshness/src/index.ts
@@ -1,4 +1,4 @@
-/** How old an instance's view of the store is, and what may be decided by it. */
+/** Tracks the age of an instance's view of the store and guards decisions against a stale view. */
 export {FreshnessGuard, type FreshnessGuardParts} from './freshness-guard.ts';
 export {
   FreshnessTable,
--- a/packages/freshness/src/view-refresher.ts
+++ b/packages/freshness/src/view-refresher.ts
@@ -1,11 +1,11 @@
 /**
- * Whether peers answered: `far` where one of another failure domain did, or where there is
- * no other domain; `near` where only others did; `none` where nobody did, or nobody was asked.
+ * Which peers answered: `far` if one in another failure domain did, or if there is no other
+ * domain; `near` if only peers in the same domain did; `none` if none did or none was asked.
  */
 export type PeerReach = 'none' | 'near' | 'far';
 
-/** A way to have evidence that the view of the store is fresh. */
+/** Obtains evidence that the view of the store is fresh. */
 export abstract class ViewRefresher {
-  /** Asks at once; evidence goes to the table. Never rejects. */
+  /** Requests evidence at once, which is recorded in the FreshnessTable. Never rejects. */
   abstract refresh(): Promise<PeerReach>;
 }
