--- a/packages/quarantine/src/crash-detector.test.ts
+++ b/packages/quarantine/src/crash-detector.test.ts
@@ -13,7 +13,7 @@
   const clock = new ManualClock(0);
   const crashed: string[] = [];
   const probes: string[] = [];
-  const world: {state: ConnectionState} = {state: 'accepted'};
+  const connection: {state: ConnectionState} = {state: 'accepted'};
   const detector = new CrashDetector({
     clock,
     logger: new SilentEventLogger(),
@@ -24,7 +24,7 @@
     },
     checkAddress: async address => {
       probes.push(address);
-      return world.state;
+      return connection.state;
     },
   });
   const recordBroken = (fingerprint: string, upstream = UPSTREAM) =>
@@ -34,12 +34,12 @@
       sentAtMs: clock.getNow(),
       endedAtMs: clock.getNow(),
     });
-  return {clock, detector, crashed, probes, world, recordBroken};
+  return {clock, detector, crashed, probes, connection, recordBroken};
 }
 
-test('a connection that broke counts once the upstream refuses the next one', async () => {
-  const {clock, crashed, world, recordBroken} = createDetector();
-  world.state = 'refused';
+test('a broken connection counts as a crash once a probe is refused', async () => {
+  const {clock, crashed, connection, recordBroken} = createDetector();
+  connection.state = 'refused';
   recordBroken('f1');
   recordBroken('f2');
   assert.deepEqual(crashed, []);
@@ -47,16 +47,16 @@
   assert.deepEqual(crashed, ['f1 u1', 'f2 u1']);
 });
 
-test('a process that closes its port a little later than its connections is found', async () => {
-  const {clock, crashed, world, recordBroken} = createDetector();
+test('a crash is detected if the process closes its port later than its connections', async () => {
+  const {clock, crashed, connection, recordBroken} = createDetector();
   recordBroken('f1');
   await clock.advance(100);
-  world.state = 'refused';
+  connection.state = 'refused';
   await clock.advance(100);
   assert.deepEqual(crashed, ['f1 u1']);
 });
 
-test('a connection that an upstream reset while it lives counts for nothing', async () => {
+test('connections reset by a running upstream do not count as crashes', async () => {
   const {clock, detector, crashed, probes, recordBroken} = createDetector();
   for (let index = 0; index < 50; index++) {
     recordBroken(`f${index}`);
@@ -69,9 +69,9 @@
   assert.equal(detector.hasPending(), false);
 });
 
-test('a silent upstream counts once its registration shows that it has ended', async () => {
-  const {clock, detector, crashed, world, recordBroken} = createDetector();
-  world.state = 'unanswered';
+test('an unresponsive upstream counts as crashed once its registration ends', async () => {
+  const {clock, detector, crashed, connection, recordBroken} = createDetector();
+  connection.state = 'unanswered';
   recordBroken('f1');
   recordBroken('f2', OTHER);
   await clock.advance(4000);
@@ -79,16 +79,16 @@
   assert.deepEqual(crashed, ['f1 u1']);
 });
 
-test('a request that was answered meanwhile has crashed nothing', async () => {
-  const {clock, detector, crashed, world, recordBroken} = createDetector();
-  world.state = 'refused';
+test('a request that is answered before the evidence arrives is not blamed for the crash', async () => {
+  const {clock, detector, crashed, connection, recordBroken} = createDetector();
+  connection.state = 'refused';
   recordBroken('f1');
   detector.recordServed('f1');
   await clock.advance(1000);
   assert.deepEqual(crashed, []);
 });
 
-test('a connection that another request finds refused is evidence as well', () => {
+test('a connection that is refused to another request is evidence as well', () => {
   const {detector, crashed, recordBroken} = createDetector();
   recordBroken('f1');
   detector.recordRefusedConnection('u2');
--- a/packages/quarantine/src/suspect-table.ts
+++ b/packages/quarantine/src/suspect-table.ts
@@ -12,7 +12,7 @@
   type UpstreamCrash,
 } from './suspect.ts';
 
-/** A request, as far as suspicion needs to know it. */
+/** Identity of a request that may be suspected of crashing upstreams. */
 export interface SuspectRequest {
   readonly fingerprint: string;
   readonly service: string;
@@ -25,34 +25,34 @@
   readonly logger: EventLogger;
 }
 
-/** Requests that are remembered, at most. */
+/** Maximum number of requests in the table. */
 const MAX_SUSPECTS = 512;
-/** Requests that a peer is told of in one message; a few kilobytes. */
+/** Bounds the size of a message to a peer to a few kilobytes. */
 const MAX_REPORTS = 32;
 /**
- * Milliseconds without a caller after which a suspected request is forgotten, and
- * milliseconds after its last crash where none is held against it.
+ * Retention of a suspected request after a caller last sent it, and of a request without
+ * unrefuted crashes after its last change.
  */
 const SUSPECT_IDLE_MS = 10 * 60_000;
-/** Milliseconds without a caller after which a quarantined request is forgotten. */
+/** Retention of a quarantined request after a caller last sent it. */
 const QUARANTINE_IDLE_MS = 60 * 60_000;
-/** Milliseconds for which peers are told of a request that is not quarantined. */
-const NEWS_MS = 30_000;
+/** Milliseconds for which a change of a request that is not quarantined is reported to peers. */
+const CHANGE_REPORT_MS = 30_000;
 
 /**
- * Requests under which upstreams have crashed, as this instance and its peers saw it.
- * Every instance decides by the same rule, so that no instance has to be reachable.
+ * Requests during which upstreams have crashed, merged from local observations and peer
+ * reports. Every instance applies the same rule, so no central instance is needed.
  */
 export class SuspectTable {
   private readonly parts: SuspectTableParts;
   private readonly suspects = new Map<string, Suspect>();
-  private readonly newsListeners: Array<() => void> = [];
+  private readonly changeListeners: Array<() => void> = [];
 
   constructor(parts: SuspectTableParts) {
     this.parts = parts;
   }
 
-  /** Returns whether nothing is suspected, so that no request needs a fingerprint. */
+  /** Returns whether no request is recorded, so that no fingerprints have to be computed. */
   isEmpty(): boolean {
     return this.suspects.size === 0;
   }
@@ -61,10 +61,10 @@
     return this.suspects.get(fingerprint)?.isQuarantined === true;
   }
 
-  /** Counts the crashes one after the other that are held against a request. */
+  /** Counts the sequential crashes of a request that no quarantined request explains. */
   countCrashes(fingerprint: string): number {
     const suspect = this.suspects.get(fingerprint);
-    return suspect ? this.countHeld(suspect) : 0;
+    return suspect ? this.countUnexplained(suspect) : 0;
   }
 
   countQuarantined(): number {
@@ -75,19 +75,19 @@
     return [...this.suspects.values()].filter(isSuspected).length;
   }
 
-  /** Lists the requests that are refused, as they are told to peers. */
+  /** Lists the quarantined requests as reports for the store. */
   listVerdicts(): SuspectReport[] {
     this.removeIdle();
     const nowMs = this.parts.clock.getNow();
     return this.listQuarantined().map(suspect => toReport(suspect, nowMs));
   }
 
-  /** Adds a function that is called when peers should be told. */
+  /** Adds a listener that is called when the crashes or the quarantine of a request change. */
   addChangeListener(listener: () => void): void {
-    this.newsListeners.push(listener);
+    this.changeListeners.push(listener);
   }
 
-  /** Notes that a caller has sent a request. */
+  /** Records that a caller has sent a request, which extends its retention. */
   recordSeen(fingerprint: string): void {
     const suspect = this.suspects.get(fingerprint);
     if (!suspect) return;
@@ -95,10 +95,10 @@
     this.suspects.set(fingerprint, {...suspect, seenAtMs});
   }
 
-  /** Notes that an upstream has crashed while it ran a request. */
+  /** Records that an upstream crashed while it ran a request. */
   recordCrash(request: SuspectRequest, crash: UpstreamCrash): void {
     const nowMs = this.parts.clock.getNow();
-    this.joinSuspect({
+    this.mergeSuspect({
       ...request,
       isQuarantined: false,
       seenAtMs: nowMs,
@@ -107,14 +107,14 @@
     });
   }
 
-  /** Notes that an upstream has answered a request. */
+  /** Records that an upstream answered a request, which refutes all its crashes. */
   recordServed(fingerprint: string): void {
     const suspect = this.suspects.get(fingerprint);
     if (!suspect || !isSuspected(suspect)) return;
     this.releaseSuspect(suspect, 'request.cleared');
   }
 
-  /** Ends a quarantine by an operator's order; returns whether there was one. */
+  /** Ends a quarantine at the request of an operator; returns whether there was one. */
   releaseRequest(fingerprint: string): boolean {
     const suspect = this.suspects.get(fingerprint);
     if (!suspect?.isQuarantined) return false;
@@ -122,20 +122,27 @@
     return true;
   }
 
-  /** Takes what a peer or the store tells. */
+  /**
+   * Merges the reports of a peer or of the store.
+   *
+   * @param source Origin of the reports, for the log.
+   */
   applyReports(reports: readonly SuspectReport[], source: string): void {
     const nowMs = this.parts.clock.getNow();
     for (const report of reports) {
-      this.joinSuspect(toSuspect(report, nowMs), source);
+      this.mergeSuspect(toSuspect(report, nowMs), source);
     }
   }
 
-  /** Lists what peers should know, the most important first. */
+  /** Lists quarantines and recent changes to report to peers, most important first. */
   listReports(): SuspectReport[] {
     this.removeIdle();
     const nowMs = this.parts.clock.getNow();
     return [...this.suspects.values()]
-      .filter(each => each.isQuarantined || nowMs - each.changedAtMs <= NEWS_MS)
+      .filter(
+        each =>
+          each.isQuarantined || nowMs - each.changedAtMs <= CHANGE_REPORT_MS,
+      )
       .sort(compareUrgency)
       .slice(0, MAX_REPORTS)
       .map(suspect => toReport(suspect, nowMs));
@@ -145,29 +152,29 @@
     return [...this.suspects.values()].filter(each => each.isQuarantined);
   }
 
-  private joinSuspect(told: Suspect, source = 'own'): void {
-    const known = this.suspects.get(told.fingerprint);
-    const joined = known ? mergeSuspects(known, told) : told;
-    const suspect = this.judgeSuspect(joined);
+  private mergeSuspect(reported: Suspect, source = 'own'): void {
+    const known = this.suspects.get(reported.fingerprint);
+    const merged = known ? mergeSuspects(known, reported) : reported;
+    const suspect = this.judgeSuspect(merged);
     this.suspects.set(suspect.fingerprint, suspect);
-    this.applyBound();
+    this.removeExcess();
     const wasQuarantined = known?.isQuarantined === true;
     if (suspect.isQuarantined && !wasQuarantined) {
       this.logSuspect('request.quarantined', suspect, source);
     } else if (wasQuarantined && !suspect.isQuarantined) {
       this.logSuspect('request.cleared', suspect, source);
     }
-    if (hasChanged(known, suspect)) this.callNewsListeners();
+    if (hasChanged(known, suspect)) this.callChangeListeners();
   }
 
   private judgeSuspect(suspect: Suspect): Suspect {
     if (suspect.isQuarantined) return suspect;
-    const isQuarantined = this.countHeld(suspect) >= QUARANTINE_CRASHES;
+    const isQuarantined = this.countUnexplained(suspect) >= QUARANTINE_CRASHES;
     return {...suspect, isQuarantined};
   }
 
-  // What ran beside a request that is known to crash upstreams is not their cause.
-  private countHeld({crashes, fingerprint}: Suspect): number {
+  // A request is not blamed for the crash of an upstream that also ran a quarantined request.
+  private countUnexplained({crashes, fingerprint}: Suspect): number {
     const explained = this.listQuarantined()
       .filter(each => each.fingerprint !== fingerprint)
       .flatMap(each => each.crashes.map(({upstream}) => upstream));
@@ -183,18 +190,19 @@
     if (suspect.isQuarantined) {
       this.logSuspect(event, cleared, 'own');
     }
-    this.callNewsListeners();
+    this.callChangeListeners();
   }
 
   private removeIdle(): void {
     const nowMs = this.parts.clock.getNow();
     for (const [fingerprint, suspect] of this.suspects) {
-      if (isForgotten(suspect, nowMs)) this.suspects.delete(fingerprint);
+      if (isExpired(suspect, nowMs)) this.suspects.delete(fingerprint);
     }
   }
 
-  // A caller that varies its requests pushes out its own ones, not those of others.
-  private applyBound(): void {
+  // Evicts from the workspace with the most entries, so that a caller that varies its
+  // requests evicts its own entries and not those of other workspaces.
+  private removeExcess(): void {
     while (this.suspects.size > MAX_SUSPECTS) {
       const workspace = findFullestWorkspace([...this.suspects.values()]);
       const oldest = [...this.suspects.values()]
@@ -224,19 +232,19 @@
     });
   }
 
-  private callNewsListeners(): void {
-    for (const listener of this.newsListeners) listener();
+  private callChangeListeners(): void {
+    for (const listener of this.changeListeners) listener();
   }
 }
 
-function isForgotten(suspect: Suspect, nowMs: number): boolean {
+function isExpired(suspect: Suspect, nowMs: number): boolean {
   const {isQuarantined, seenAtMs, changedAtMs} = suspect;
   if (!isSuspected(suspect)) return nowMs - changedAtMs > SUSPECT_IDLE_MS;
   const limitMs = isQuarantined ? QUARANTINE_IDLE_MS : SUSPECT_IDLE_MS;
   return nowMs - seenAtMs > limitMs;
 }
 
-// Quarantined ones first, then those with the newest news.
+// Quarantined requests first, then the most recently changed ones.
 function compareUrgency(left: Suspect, right: Suspect): number {
   const byVerdict = Number(right.isQuarantined) - Number(left.isQuarantined);
   return byVerdict || right.changedAtMs - left.changedAtMs;
--- a/packages/upstream-signals/src/back-off-table.ts
+++ b/packages/upstream-signals/src/back-off-table.ts
@@ -14,96 +14,96 @@
   readonly logger: EventLogger;
 }
 
-interface Row {
+interface BackOffEntry {
   backOff: BackOff;
-  /** When the upstream last asked, in milliseconds of this instance's clock. */
-  readonly askedAtMs: number;
+  /** When the upstream last requested it, in milliseconds of this instance's clock. */
+  readonly requestedAtMs: number;
   timer: Timer;
 }
 
 /**
- * The upstreams that asked this instance for no work for a time. What others were
- * asked is their affair: an upstream may be full for one and have room for another.
+ * Back-offs that upstreams requested from this instance. They are not shared with other
+ * instances: an upstream may refuse one caller and still have capacity for another.
  */
 export class BackOffTable {
   private readonly parts: BackOffTableParts;
-  private readonly rows = new Map<string, Row>();
+  private readonly entries = new Map<string, BackOffEntry>();
 
   constructor(parts: BackOffTableParts) {
     this.parts = parts;
   }
 
   /**
-   * Notes that an upstream wants no work.
+   * Begins or extends the back-off of an upstream.
    *
-   * @param forMs Milliseconds from now.
+   * @param durationMs Milliseconds from now.
    */
-  beginBackOff(id: string, forMs: number): void {
+  beginBackOff(id: string, durationMs: number): void {
     const {clock, logger} = this.parts;
     const nowMs = clock.getNow();
-    const row = this.rows.get(id);
-    row?.timer.cancel();
-    const backOff = recordBackOff(row?.backOff, forMs, nowMs);
-    const leftMs = backOff.untilMs - nowMs;
-    const timer = clock.schedule(leftMs, () =>
+    const entry = this.entries.get(id);
+    entry?.timer.cancel();
+    const backOff = recordBackOff(entry?.backOff, durationMs, nowMs);
+    const remainingMs = backOff.untilMs - nowMs;
+    const timer = clock.schedule(remainingMs, () =>
       logger.logEvent('upstream.back-off-ended', {upstream: id}),
     );
-    this.rows.set(id, {backOff, askedAtMs: nowMs, timer});
+    this.entries.set(id, {backOff, requestedAtMs: nowMs, timer});
   }
 
   /**
-   * Has what an upstream asked for after it had started again hold for its new life, where
-   * it was noted of the one before.
+   * Applies the back-off of a restarted upstream to its new incarnation if it was requested
+   * after the restart; it was then recorded for the previous id.
    *
-   * @param startedAtMs When the new life began, in Unix milliseconds.
+   * @param startedAtMs When the new incarnation started, in Unix milliseconds.
    */
   replaceIncarnation(before: string, after: string, startedAtMs: number): void {
-    const row = this.rows.get(before);
+    const entry = this.entries.get(before);
     const waitMs = this.getWaitMs(before);
-    if (row && waitMs > 0 && row.askedAtMs >= startedAtMs) {
+    if (entry && waitMs > 0 && entry.requestedAtMs >= startedAtMs) {
       this.beginBackOff(after, waitMs);
     }
   }
 
-  /** Returns whether work may go to an upstream now, as far as it was asked for none. */
+  /** Returns whether the back-off of an upstream, if any, allows a send now. */
   maySend(id: string): boolean {
     const backOff = this.findBackOff(id);
     return !backOff || maySend(backOff, this.parts.clock.getNow());
   }
 
-  /** Returns whether work that is sent now may be, and counts it if so. */
+  /** Counts a send if the back-off allows it now; returns whether it did. */
   acquireSend(id: string): boolean {
-    const row = this.rows.get(id);
-    if (!row || !this.findBackOff(id)) return true;
+    const entry = this.entries.get(id);
+    if (!entry || !this.findBackOff(id)) return true;
     const nowMs = this.parts.clock.getNow();
-    if (!maySend(row.backOff, nowMs)) return false;
-    row.backOff = recordSend(row.backOff, nowMs);
+    if (!maySend(entry.backOff, nowMs)) return false;
+    entry.backOff = recordSend(entry.backOff, nowMs);
     return true;
   }
 
-  /** Returns milliseconds until an upstream takes some work again, 0 for one that does. */
+  /** Returns the milliseconds until an upstream accepts work again; 0 if it does now. */
   getWaitMs(id: string): number {
     const backOff = this.findBackOff(id);
     if (!backOff) return 0;
     return Math.max(0, backOff.untilMs - this.parts.clock.getNow());
   }
 
-  /** Counts the upstreams that want no work now. */
+  /** Counts the upstreams whose back-off has not ended; slow starts do not count. */
   countBackingOff(): number {
-    return [...this.rows.keys()].filter(id => this.getWaitMs(id) > 0).length;
+    return [...this.entries.keys()].filter(id => this.getWaitMs(id) > 0).length;
   }
 
-  /** Cancels the timers, so that nothing is left to keep a process that stops. */
+  /** Cancels the timers, so that they do not keep a stopping process alive. */
   stop(): void {
-    for (const {timer} of this.rows.values()) timer.cancel();
-    this.rows.clear();
+    for (const {timer} of this.entries.values()) timer.cancel();
+    this.entries.clear();
   }
 
   private findBackOff(id: string): BackOff | undefined {
-    const backOff = this.rows.get(id)?.backOff;
+    const backOff = this.entries.get(id)?.backOff;
     if (!backOff) return undefined;
     if (!isOver(backOff, this.parts.clock.getNow())) return backOff;
-    this.rows.delete(id);
+    this.entries.delete(id);
     return undefined;
   }
 }
