--- a/packages/gateway/src/coordinator-search.ts
+++ b/packages/gateway/src/coordinator-search.ts
@@ -27,7 +27,7 @@
  * Share of a round for which a peer that did not answer is left alone: it is
  * asked in the next round, and not by each change of the list in between.
  */
-const BAN_SHARE = 0.5;
+const RETRY_DELAY_SHARE = 0.5;
 /** Milliseconds for an answer; room for a process that has just started. */
 const ASK_TIMEOUT_MS = 400;
 /** Peers asked in a round; the first by rank of them that answers decides. */
@@ -42,14 +42,14 @@
 export class CoordinatorSearch {
   private readonly parts: CoordinatorSearchParts;
   private readonly task: RepeatingTask;
-  private readonly asked = new Set<string>();
+  private readonly askedIds = new Set<string>();
   private startedAtMs = 0;
   private isListKnown = false;
 
   constructor(parts: CoordinatorSearchParts) {
     this.parts = parts;
     this.task = new RepeatingTask(parts.clock, parts.random, async () => {
-      this.askRivals();
+      this.askCandidates();
       return this.getRoundMs();
     });
   }
@@ -59,7 +59,7 @@
     this.startedAtMs = this.parts.clock.getNow();
     this.parts.membership.addListener(() => {
       this.isListKnown = true;
-      this.askRivals();
+      this.askCandidates();
     });
     return this.task.start();
   }
@@ -69,32 +69,33 @@
    * who would coordinate in place of the one that is chosen now.
    */
   isSettled(): boolean {
-    return this.isListKnown && this.asked.size === 0;
+    return this.isListKnown && this.askedIds.size === 0;
   }
 
   stop(): void {
     this.task.stop();
   }
 
-  private askRivals(): void {
-    const rivals = listUnconfirmedCandidates(
+  private askCandidates(): void {
+    const candidates = listUnconfirmedCandidates(
       this.parts.membership,
-      this.getRoundMs() * BAN_SHARE,
+      this.getRoundMs() * RETRY_DELAY_SHARE,
     );
-    for (const rival of rivals.slice(0, MAX_ASKED)) void this.askRival(rival);
+    for (const candidate of candidates.slice(0, MAX_ASKED))
+      void this.askCandidate(candidate);
   }
 
-  private async askRival(rival: PeerRecord): Promise<void> {
-    const {id, address} = rival;
-    if (this.asked.has(id)) return;
-    this.asked.add(id);
+  private async askCandidate(candidate: PeerRecord): Promise<void> {
+    const {id, address} = candidate;
+    if (this.askedIds.has(id)) return;
+    this.askedIds.add(id);
     const {link, membership} = this.parts;
     const reply = await link
       .sendRequest(address, {type: 'ping'}, ASK_TIMEOUT_MS)
       .catch((): undefined => undefined);
-    this.asked.delete(id);
+    this.askedIds.delete(id);
     if (reply?.type === 'done') {
-      membership.recordContact(rival);
+      membership.recordContact(candidate);
       return;
     }
     membership.recordUnreachable(id);
--- a/packages/gateway/src/create-freshness-guard.ts
+++ b/packages/gateway/src/create-freshness-guard.ts
@@ -9,7 +9,7 @@
 import type {GatewayEnvironment} from './create-gateway.ts';
 
 /** Has the store's watch, or the peers that pass its changes on, asked at once. */
-class WatchRefresh extends ViewRefresher {
+class WatchRefresher extends ViewRefresher {
   private readonly store: KeyValueStore;
 
   constructor(store: KeyValueStore) {
@@ -24,7 +24,7 @@
 }
 
 /** Compares with a peer at once. */
-class PeerRefresh extends ViewRefresher {
+class PeerRefresher extends ViewRefresher {
   private readonly exchange: Pick<GossipExchange, 'refreshView'>;
   private readonly which: 'far' | 'near';
 
@@ -59,10 +59,16 @@
   metrics.setGauge('hollowstack_view_age_seconds', {}, () =>
     Math.min(Number.MAX_SAFE_INTEGER, table.getAgeMs() / 1000),
   );
-  const ways = [
-    new WatchRefresh(store),
-    new PeerRefresh(exchange, 'far'),
-    new PeerRefresh(exchange, 'near'),
+  const refreshers = [
+    new WatchRefresher(store),
+    new PeerRefresher(exchange, 'far'),
+    new PeerRefresher(exchange, 'near'),
   ];
-  return new FreshnessGuard({clock, logger, metrics, table, refreshers: ways});
+  return new FreshnessGuard({
+    clock,
+    logger,
+    metrics,
+    table,
+    refreshers,
+  });
 }
--- a/packages/gateway/src/create-store-view.ts
+++ b/packages/gateway/src/create-store-view.ts
@@ -104,7 +104,7 @@
     random,
     leaseMs: MEMBER_LEASE_MS,
   });
-  const watchPace = createWatchTiming({
+  const watchTiming = createWatchTiming({
     followWithinMs,
     getWatcherCount: () => store.countWatchers(),
   });
@@ -112,13 +112,13 @@
   const operatorFollower = createOperatorFollower(
     followerParts,
     environment.requestProtocol,
-    watchPace,
+    watchTiming,
     {routeHolder, evacuated, freshness},
   );
   const registryFollower = createRegistryFollower(
     followerParts,
     environment.requestProtocol.upstreamPrefix,
-    watchPace,
+    watchTiming,
     {registry, freshness},
   );
   const watchHub = new WatchHub({
@@ -178,7 +178,7 @@
 function createOperatorFollower(
   parts: FollowerParts,
   {operatorPrefix, configurationKey}: RequestProtocol,
-  watchPace: WatchTiming,
+  watchTiming: WatchTiming,
   {
     routeHolder,
     evacuated,
@@ -188,7 +188,7 @@
 ): StoreFollower {
   return new StoreFollower({
     ...parts,
-    range: {...createPrefixRange(operatorPrefix), watchTiming: watchPace},
+    range: {...createPrefixRange(operatorPrefix), watchTiming},
     handleFullRead: ({keyValues, storeRevision}) => {
       evacuated.applyFullRead(keyValues, storeRevision);
       for (const {key, value} of keyValues) {
@@ -212,7 +212,7 @@
 function createRegistryFollower(
   parts: FollowerParts,
   prefix: string,
-  watchPace: WatchTiming,
+  watchTiming: WatchTiming,
   {
     registry,
     freshness,
@@ -220,7 +220,7 @@
 ): StoreFollower {
   return new StoreFollower({
     ...parts,
-    range: {...createPrefixRange(prefix), watchTiming: watchPace},
+    range: {...createPrefixRange(prefix), watchTiming},
     handleFullRead: ({keyValues, storeRevision}) =>
       registry.replaceEntries(keyValues, storeRevision, 'store'),
     handleChanges: events => registry.applyEvents(events),
--- a/packages/gateway/src/evacuated-domains.ts
+++ b/packages/gateway/src/evacuated-domains.ts
@@ -45,7 +45,7 @@
 
   /** Evacuated failure domains that the store no longer lists, until the grace period ends. */
   private readonly lostDomains = new Set<string>();
-  private grace: Timer | undefined;
+  private graceTimer: Timer | undefined;
 
   constructor(parts: EvacuatedDomainsParts) {
     this.parts = parts;
@@ -56,16 +56,16 @@
    * backup, so evacuations that it lacks stay in force until operators can rewrite them.
    */
   beginGrace(): void {
-    this.grace?.cancel();
-    this.grace = this.parts.clock.schedule(REWRITE_GRACE_MS, () =>
+    this.graceTimer?.cancel();
+    this.graceTimer = this.parts.clock.schedule(REWRITE_GRACE_MS, () =>
       this.endGrace(),
     );
   }
 
   /** Cancels the grace timer, which would otherwise keep a stopping process alive. */
   stop(): void {
-    this.grace?.cancel();
-    this.grace = undefined;
+    this.graceTimer?.cancel();
+    this.graceTimer = undefined;
   }
 
   isEvacuated(failureDomain: string): boolean {
@@ -149,7 +149,7 @@
     const before = this.failureDomains;
     const after = new Set(domains);
     for (const failureDomain of before) {
-      if (!this.grace || after.has(failureDomain)) {
+      if (!this.graceTimer || after.has(failureDomain)) {
         this.lostDomains.delete(failureDomain);
       } else this.lostDomains.add(failureDomain);
     }
@@ -159,7 +159,7 @@
   }
 
   private endGrace(): void {
-    this.grace = undefined;
+    this.graceTimer = undefined;
     const before = this.failureDomains;
     this.failureDomains = new Set(
       [...before].filter(each => !this.lostDomains.has(each)),
--- a/packages/gateway/src/gossip-exchange.test.ts
+++ b/packages/gateway/src/gossip-exchange.test.ts
@@ -55,7 +55,7 @@
       isLeaving: () => false,
       listPeers: () => [PEER],
       listReachablePeers: () => [PEER],
-      recordHeard: () => {},
+      recordContact: () => {},
     } as unknown as Membership,
     clock,
     logger,
--- a/packages/gateway/src/gossip-exchange.ts
+++ b/packages/gateway/src/gossip-exchange.ts
@@ -43,7 +43,7 @@
  */
 const ROUND_SHARE = 0.35;
 /** Milliseconds for an answer without a copy; some hundred round trips. */
-const TIMEOUT_MS = 700;
+const REPLY_TIMEOUT_MS = 700;
 /** A whole copy takes its time on a thin link. */
 const COPY_TIMEOUT_MS = 2000;
 /**
@@ -56,19 +56,19 @@
  * copy. Two rounds at the most, the standby and this patience leave a tenth for
  * the copy itself.
  */
-const PATIENCE_SHARE = 0.2;
+const COPY_DELAY_SHARE = 0.2;
 /**
  * Milliseconds after an upstream's own word that it leaves before peers are told. A
  * store that works tells all of them within 2 to 12 ms (27 changes at nine gateways).
  */
-const TELL_AFTER_MS = 100;
-const COPIES: RequestedCopies = {
+const PROPAGATION_DELAY_MS = 100;
+const VIEW_COPIES: RequestedCopies = {
   configuration: true,
   upstreams: true,
   members: false,
   packed: true,
 };
-const NO_WISHES: RequestedCopies = {
+const NO_COPIES: RequestedCopies = {
   configuration: false,
   upstreams: false,
   members: false,
@@ -82,24 +82,24 @@
 export class GossipExchange {
   private readonly parts: GossipExchangeParts;
   private readonly task: RepeatingTask;
-  private readonly partners: GossipPeerSelector;
-  private readonly knowledge: GossipState;
-  private readonly configurationNews: PendingPeerRevision;
-  private readonly upstreamNews: PendingPeerRevision;
+  private readonly peerSelector: GossipPeerSelector;
+  private readonly state: GossipState;
+  private readonly pendingConfiguration: PendingPeerRevision;
+  private readonly pendingUpstreams: PendingPeerRevision;
   private readonly roundMs: number;
-  private readonly patienceMs: number;
-  private readonly packer = new TextCompressor();
-  private newsTimer: Timer | undefined;
-  private tellTimer: Timer | undefined;
+  private readonly copyDelayMs: number;
+  private readonly compressor = new TextCompressor();
+  private copyTimer: Timer | undefined;
+  private propagationTimer: Timer | undefined;
 
   constructor(parts: GossipExchangeParts) {
     this.parts = parts;
-    this.partners = new GossipPeerSelector(parts);
-    this.knowledge = new GossipState(parts);
+    this.peerSelector = new GossipPeerSelector(parts);
+    this.state = new GossipState(parts);
     this.roundMs = parts.followWithinMs * ROUND_SHARE;
-    this.patienceMs = parts.followWithinMs * PATIENCE_SHARE;
-    this.configurationNews = new PendingPeerRevision(this.patienceMs);
-    this.upstreamNews = new PendingPeerRevision(this.patienceMs);
+    this.copyDelayMs = parts.followWithinMs * COPY_DELAY_SHARE;
+    this.pendingConfiguration = new PendingPeerRevision(this.copyDelayMs);
+    this.pendingUpstreams = new PendingPeerRevision(this.copyDelayMs);
     this.task = new RepeatingTask(parts.clock, parts.random, async () => {
       await this.runRound();
       return this.roundMs;
@@ -112,8 +112,8 @@
 
   stop(): void {
     this.task.stop();
-    this.newsTimer?.cancel();
-    this.tellTimer?.cancel();
+    this.copyTimer?.cancel();
+    this.propagationTimer?.cancel();
   }
 
   /**
@@ -123,25 +123,28 @@
    * seven such pauses and not as many rounds.
    */
   schedulePropagation(): void {
-    if (this.tellTimer) return;
-    this.tellTimer = this.parts.clock.schedule(TELL_AFTER_MS, () => {
-      this.tellTimer = undefined;
-      if (this.knowledge.hasUnstoredReports()) void this.runRound();
-    });
+    if (this.propagationTimer) return;
+    this.propagationTimer = this.parts.clock.schedule(
+      PROPAGATION_DELAY_MS,
+      () => {
+        this.propagationTimer = undefined;
+        if (this.state.hasUnstoredReports()) void this.runRound();
+      },
+    );
   }
 
   /** Asks one peer, or the seeds while no peer is known. */
   async runRound(): Promise<void> {
-    const {addresses, standby} = this.partners.chooseForRound();
-    const wishes = this.listWishes();
-    const asked = addresses.map((address, index) =>
+    const {addresses, standby} = this.peerSelector.chooseForRound();
+    const requestedCopies = this.getDueCopies();
+    const pendingReplies = addresses.map((address, index) =>
       index === 0
-        ? this.askWithStandby(address, standby, wishes)
-        : this.askPeer(address, NO_WISHES),
+        ? this.askWithStandby(address, standby, requestedCopies)
+        : this.askPeer(address, NO_COPIES),
     );
     // A peer that is gone must not hold up the next round.
     await Promise.race([
-      Promise.all(asked),
+      Promise.all(pendingReplies),
       waitFor(this.parts.clock, this.roundMs),
     ]);
   }
@@ -153,59 +156,64 @@
    */
   async refreshView(which: 'far' | 'near'): Promise<PeerReach> {
     const {membership} = this.parts;
-    const partners = this.partners.chooseForRefresh();
-    const peer = partners[which];
-    if (!peer || !(await this.askPeer(peer.address, COPIES))) return 'none';
+    const peers = this.peerSelector.chooseForRefresh();
+    const peer = peers[which];
+    if (!peer || !(await this.askPeer(peer.address, VIEW_COPIES)))
+      return 'none';
     const own = membership.getSelf().failureDomain;
-    const isFar = peer.failureDomain !== own || !partners.hasOtherDomains;
+    const isFar = peer.failureDomain !== own || !peers.hasOtherDomains;
     return isFar ? 'far' : 'near';
   }
 
   /** Answers a peer's question. */
-  answerCopy(asked: Extract<PeerRequest, {type: 'copy'}>): PeerReply {
+  answerCopy(request: Extract<PeerRequest, {type: 'copy'}>): PeerReply {
     const {routeHolder, registry, membership} = this.parts;
-    const {wishes} = asked;
-    const isConfigurationNews =
-      routeHolder.getRevision() > asked.configurationRevision;
-    const isDigestOther = registry.getDigest() !== asked.digest;
-    this.knowledge.recordMessage(asked, asked.self.address);
+    const {wishes: requestedCopies} = request;
+    const hasNewerConfiguration =
+      routeHolder.getRevision() > request.configurationRevision;
+    const isDigestOther = registry.getDigest() !== request.digest;
+    this.state.recordMessage(request, request.self.address);
     // Whoever asks may know more than the one that is asked.
-    if (!asked.isLeaving) {
-      this.recordNews({...asked, isDigestOther});
-      this.scheduleNewsCheck(asked.self.address);
+    if (!request.isLeaving) {
+      this.recordPeerRevisions({...request, isDigestOther});
+      this.scheduleCopyRequest(request.self.address);
     }
-    const areUpstreamsNews =
-      registry.getStoreRevision() > asked.storeRevision && isDigestOther;
+    const hasNewerUpstreams =
+      registry.getStoreRevision() > request.storeRevision && isDigestOther;
     return {
       type: 'copy',
-      ...this.knowledge.createMessage(),
-      viewOffsetsMs: this.knowledge.computeViewOffsets(
-        this.parts.clock.getNow(),
-      ),
+      ...this.state.createMessage(),
+      viewOffsetsMs: this.state.computeViewOffsets(this.parts.clock.getNow()),
       isDigestOther,
       configurationText:
-        wishes.configuration && isConfigurationNews
-          ? this.packer.encodeText(routeHolder.getText(), wishes.packed)
+        requestedCopies.configuration && hasNewerConfiguration
+          ? this.compressor.encodeText(
+              routeHolder.getText(),
+              requestedCopies.packed,
+            )
           : undefined,
       upstreams:
-        wishes.upstreams && areUpstreamsNews
+        requestedCopies.upstreams && hasNewerUpstreams
           ? registry.createCopy()
           : undefined,
-      members: wishes.members
+      members: requestedCopies.members
         ? [membership.getSelf(), ...membership.listPeers()]
         : undefined,
     };
   }
 
-  private listWishes(): RequestedCopies {
+  private getDueCopies(): RequestedCopies {
     const {routeHolder, registry, membership, clock} = this.parts;
     const nowMs = clock.getNow();
     return {
-      configuration: this.configurationNews.isDue(
+      configuration: this.pendingConfiguration.isDue(
         routeHolder.getRevision(),
         nowMs,
       ),
-      upstreams: this.upstreamNews.isDue(registry.getStoreRevision(), nowMs),
+      upstreams: this.pendingUpstreams.isDue(
+        registry.getStoreRevision(),
+        nowMs,
+      ),
       members: membership.listPeers().length === 0,
       packed: true,
     };
@@ -214,25 +222,25 @@
   private async askWithStandby(
     address: string,
     standby: string | undefined,
-    wishes: RequestedCopies,
+    requestedCopies: RequestedCopies,
   ): Promise<void> {
     const {clock, followWithinMs} = this.parts;
-    const asked = this.askPeer(address, wishes);
+    const firstReply = this.askPeer(address, requestedCopies);
     if (standby === undefined) {
-      await asked;
+      await firstReply;
       return;
     }
     const isAnswered = await Promise.race([
-      asked,
+      firstReply,
       waitFor(clock, followWithinMs * STANDBY_SHARE).then(() => false),
     ]);
-    if (!isAnswered) await this.askPeer(standby, wishes);
+    if (!isAnswered) await this.askPeer(standby, requestedCopies);
   }
 
   // Resolves to whether the peer has answered.
   private async askPeer(
     address: string,
-    wishes: RequestedCopies,
+    requestedCopies: RequestedCopies,
   ): Promise<boolean> {
     const {clock, link, membership, registry} = this.parts;
     const askedAtMs = clock.getNow();
@@ -241,11 +249,13 @@
         address,
         {
           type: 'copy',
-          ...this.knowledge.createMessage(),
+          ...this.state.createMessage(),
           digest: registry.getDigest(),
-          wishes,
+          wishes: requestedCopies,
         },
-        wishes.configuration || wishes.upstreams ? COPY_TIMEOUT_MS : TIMEOUT_MS,
+        requestedCopies.configuration || requestedCopies.upstreams
+          ? COPY_TIMEOUT_MS
+          : REPLY_TIMEOUT_MS,
       )
       .catch((): undefined => undefined);
     if (reply?.type !== 'copy') {
@@ -253,21 +263,21 @@
       return false;
     }
     const source = `peer ${address}`;
-    this.knowledge.recordMessage(reply, address);
-    this.recordNews(reply);
-    if (wishes.upstreams && !reply.isDigestOther) {
-      this.upstreamNews.removeRevision();
+    this.state.recordMessage(reply, address);
+    this.recordPeerRevisions(reply);
+    if (requestedCopies.upstreams && !reply.isDigestOther) {
+      this.pendingUpstreams.removeRevision();
     }
-    this.scheduleNewsCheck(address);
+    this.scheduleCopyRequest(address);
     if (reply.configurationText !== undefined) {
       this.offerConfiguration(reply.configurationText, source);
     }
-    const isCopied =
+    const isCopyApplied =
       reply.upstreams !== undefined &&
       registry.applyCopy(reply.upstreams, source);
-    this.knowledge.recordComparison(reply, {
+    this.state.recordComparison(reply, {
       askedAtMs,
-      isCopyApplied: isCopied,
+      isCopyApplied,
       source,
     });
     // Its upstreams are the same without those that are missing here.
@@ -278,10 +288,10 @@
     return true;
   }
 
-  private offerConfiguration(packed: CompressedText, source: string): void {
+  private offerConfiguration(compressed: CompressedText, source: string): void {
     const {routeHolder, logger} = this.parts;
     try {
-      routeHolder.offerText(decodeText(packed), source);
+      routeHolder.offerText(decodeText(compressed), source);
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
       const inForce = routeHolder.getRevision();
@@ -291,34 +301,35 @@
 
   // What one peer has and the watch has not brought in its time is asked for at
   // once, from the peer that has it: the next round might meet one that is gone.
-  private scheduleNewsCheck(address: string): void {
-    if (this.newsTimer || !this.hasNews()) return;
+  private scheduleCopyRequest(address: string): void {
+    if (this.copyTimer || !this.hasPendingRevision()) return;
     const {clock} = this.parts;
-    this.newsTimer = clock.schedule(this.patienceMs, () => {
-      this.newsTimer = undefined;
-      if (this.hasNews()) void this.askPeer(address, this.listWishes());
+    this.copyTimer = clock.schedule(this.copyDelayMs, () => {
+      this.copyTimer = undefined;
+      if (this.hasPendingRevision())
+        void this.askPeer(address, this.getDueCopies());
     });
   }
 
-  private hasNews(): boolean {
+  private hasPendingRevision(): boolean {
     const {routeHolder, registry} = this.parts;
     return (
-      this.configurationNews.isNewerThan(routeHolder.getRevision()) ||
-      this.upstreamNews.isNewerThan(registry.getStoreRevision())
+      this.pendingConfiguration.isNewerThan(routeHolder.getRevision()) ||
+      this.pendingUpstreams.isNewerThan(registry.getStoreRevision())
     );
   }
 
-  private recordNews(peer: PeerRevisions): void {
+  private recordPeerRevisions(peer: PeerRevisions): void {
     const {routeHolder, registry, clock} = this.parts;
     const nowMs = clock.getNow();
-    this.configurationNews.recordRevision(
+    this.pendingConfiguration.recordRevision(
       peer.configurationRevision,
       routeHolder.getRevision(),
       nowMs,
     );
     // One in its grace sends no copy of its upstreams.
     if (!peer.isDigestOther || peer.isProvisional) return;
-    this.upstreamNews.recordRevision(
+    this.pendingUpstreams.recordRevision(
       peer.storeRevision,
       registry.getStoreRevision(),
       nowMs,
--- a/packages/gateway/src/gossip-peer-selector.test.ts
+++ b/packages/gateway/src/gossip-peer-selector.test.ts
@@ -13,7 +13,7 @@
   peers: readonly PeerRecord[],
   reachable: readonly PeerRecord[] = peers,
 ) {
-  const partners = new GossipPeerSelector({
+  const selector = new GossipPeerSelector({
     membership: {
       getSelf: () => SELF,
       listPeers: () => peers,
@@ -22,7 +22,7 @@
     seeds: [],
     random: getZero,
   });
-  const {far, near, hasOtherDomains} = partners.chooseForRefresh();
+  const {far, near, hasOtherDomains} = selector.chooseForRefresh();
   return {far: far?.id, near: near?.id, hasOtherDomains};
 }
 
--- a/packages/gateway/src/gossip-peer-selector.ts
+++ b/packages/gateway/src/gossip-peer-selector.ts
@@ -36,7 +36,7 @@
 /** Peers that an instance of a large fleet keeps connections to. */
 const NEIGHBOUR_COUNT = 8;
 /** Every so many rounds a peer beyond the neighbours is asked. */
-const FAR_EVERY_ROUNDS = 5;
+const ANY_PEER_EVERY_ROUNDS = 5;
 
 /** Chooses whom an instance compares its copies with. */
 export class GossipPeerSelector {
@@ -54,14 +54,14 @@
     const seeds = this.listSeeds();
     this.roundCount += 1;
     if (peers.length === 0) return {addresses: seeds, standby: undefined};
-    const isFar = this.roundCount % FAR_EVERY_ROUNDS === 0;
-    const near = isFar ? peers : this.listNeighbours(peers);
-    const index = Math.floor(random() * near.length);
-    const addresses = [near[index].address];
+    const isAnyPeerRound = this.roundCount % ANY_PEER_EVERY_ROUNDS === 0;
+    const candidates = isAnyPeerRound ? peers : this.listNeighbours(peers);
+    const index = Math.floor(random() * candidates.length);
+    const addresses = [candidates[index].address];
     if (this.roundCount % SEEDS_EVERY_ROUNDS === 0 && seeds.length > 0) {
       addresses.push(seeds[Math.floor(random() * seeds.length)]);
     }
-    const standby = near[(index + 1) % near.length].address;
+    const standby = candidates[(index + 1) % candidates.length].address;
     return {
       addresses: [...new Set(addresses)],
       standby: addresses.includes(standby) ? undefined : standby,
--- a/packages/gateway/src/late-full-read.test.ts
+++ b/packages/gateway/src/late-full-read.test.ts
@@ -10,7 +10,7 @@
 /** Milliseconds after which an instance has its watch. */
 const START_MS = 3000;
 /** Longer than a new watch takes to begin, backoff included. */
-const LATE_MS = 700;
+const READ_DELAY_MS = 700;
 /** Milliseconds after which a broken watch has begun again and reads. */
 const RESYNC_MS = 450;
 /** Milliseconds after the end of trouble in which an instance must be up to date. */
@@ -32,7 +32,7 @@
   });
 }
 
-async function runLateReading(seed: number): Promise<Outcome> {
+async function runLateFullRead(seed: number): Promise<Outcome> {
   const clock = new ManualClock();
   const fleet = createFleet(clock, seed);
   const {store} = fleet;
@@ -42,7 +42,7 @@
   await clock.advance(START_MS);
   const [{client}] = fleet.instances;
   for (const start of [OPERATOR_PREFIX, UPSTREAM_PREFIX]) {
-    client.readDelaysMs.set(start, LATE_MS);
+    client.readDelaysMs.set(start, READ_DELAY_MS);
   }
   client.endWatches();
   await clock.advance(RESYNC_MS);
@@ -85,7 +85,7 @@
 });
 
 test('a reading that was sent before a watch began leaves no change unknown', async () => {
-  const outcomes = await Promise.all(SEEDS.map(seed => runLateReading(seed)));
+  const outcomes = await Promise.all(SEEDS.map(seed => runLateFullRead(seed)));
   const behind = outcomes.flatMap(outcome => outcome.behind);
   const sending = outcomes.flatMap(outcome => outcome.sending);
   assert.deepEqual({behind, sending}, {behind: [], sending: []});
--- a/packages/gateway/src/leaving-ids.ts
+++ b/packages/gateway/src/leaving-ids.ts
@@ -8,7 +8,7 @@
 export class LeavingIds {
   private readonly ids = new Set<string>();
   /** When an answer said it first, in milliseconds of this instance's clock. */
-  private readonly toldAtMs = new Map<string, number>();
+  private readonly selfReportedAtMs = new Map<string, number>();
 
   has(id: string): boolean {
     return this.ids.has(id);
@@ -16,12 +16,12 @@
 
   /** Returns whether an answer of the upstream said it, here or at a peer. */
   isSelfReported(id: string): boolean {
-    return this.toldAtMs.has(id);
+    return this.selfReportedAtMs.has(id);
   }
 
   /** Returns when an answer of the upstream said it, if one did. */
   getSelfReportedAtMs(id: string): number | undefined {
-    return this.toldAtMs.get(id);
+    return this.selfReportedAtMs.get(id);
   }
 
   /** Notes that the registration of an upstream says that it leaves. */
@@ -30,12 +30,12 @@
     if (this.ids.size <= MAX_IDS) return;
     const [oldest] = this.ids;
     this.ids.delete(oldest);
-    this.toldAtMs.delete(oldest);
+    this.selfReportedAtMs.delete(oldest);
   }
 
   /** Notes that an answer of an upstream says that it leaves. */
   addSelfReported(id: string, nowMs: number): void {
-    this.toldAtMs.set(id, nowMs);
+    this.selfReportedAtMs.set(id, nowMs);
     this.addRegistered(id);
   }
 }
--- a/packages/gateway/src/pending-peer-revision.ts
+++ b/packages/gateway/src/pending-peer-revision.ts
@@ -1,15 +1,15 @@
 /** What peers know that this instance does not, and for how long it has been so. */
 export class PendingPeerRevision {
-  private readonly patienceMs: number;
+  private readonly copyDelayMs: number;
   private revision = 0;
   private sinceMs = 0;
 
   /**
-   * @param patienceMs Milliseconds in which the store's own watch should have
+   * @param copyDelayMs Milliseconds in which the store's own watch should have
    * brought the news, so that a peer need not be asked for a whole copy.
    */
-  constructor(patienceMs: number) {
-    this.patienceMs = patienceMs;
+  constructor(copyDelayMs: number) {
+    this.copyDelayMs = copyDelayMs;
   }
 
   /** Notes the revision that a peer has. */
@@ -27,7 +27,7 @@
   /** Returns whether a peer should be asked for a copy. */
   isDue(ownRevision: number, nowMs: number): boolean {
     if (!this.isNewerThan(ownRevision)) return false;
-    return nowMs - this.sinceMs >= this.patienceMs;
+    return nowMs - this.sinceMs >= this.copyDelayMs;
   }
 
   /** Notes that a peer was asked and had nothing that differs. */
--- a/packages/gateway/src/store-follower.ts
+++ b/packages/gateway/src/store-follower.ts
@@ -37,8 +37,8 @@
 export class StoreFollower implements WatchSubscription {
   readonly range: KeyRange;
   private readonly parts: StoreFollowerParts;
-  private readonly controller = new AbortController();
-  private current = new AbortController();
+  private readonly stopController = new AbortController();
+  private readController = new AbortController();
   private knownUntilMs = -Infinity;
   private isReadDue = true;
   private isDown = false;
@@ -64,7 +64,7 @@
   }
 
   stop(): void {
-    this.controller.abort(new Error('stopped'));
+    this.stopController.abort(new Error('stopped'));
   }
 
   /**
@@ -73,11 +73,11 @@
    */
   refresh(): Promise<void> {
     this.isReadDue = true;
-    this.current.abort(new Error('another reading takes its place'));
-    this.current = new AbortController();
-    const {signal} = this.current;
+    this.readController.abort(new Error('another reading takes its place'));
+    this.readController = new AbortController();
+    const {signal} = this.readController;
     return this.readUntilAnswered(
-      AbortSignal.any([this.controller.signal, signal]),
+      AbortSignal.any([this.stopController.signal, signal]),
     );
   }
 
@@ -93,10 +93,10 @@
 
   private async readOnce(signal: AbortSignal): Promise<boolean> {
     try {
-      const reading = await this.parts.store.readRange(this.range);
+      const result = await this.parts.store.readRange(this.range);
       if (signal.aborted) return false;
       this.recordState(false, undefined);
-      this.parts.handleFullRead(reading);
+      this.parts.handleFullRead(result);
       this.isReadDue = false;
       this.handleProgress(this.knownUntilMs);
       return true;
--- a/packages/gateway/src/store-view.test.ts
+++ b/packages/gateway/src/store-view.test.ts
@@ -13,7 +13,7 @@
 const SEED_COUNT = 40;
 
 /** What is harmed in one play, drawn by its seed. */
-const HARMS = [
+const FAULTS = [
   'store-connections-of-one',
   'store-connections-of-all',
   'streams',
@@ -21,25 +21,29 @@
   'everything',
   'store-refuses-one',
 ] as const;
-type Harm = (typeof HARMS)[number];
+type Fault = (typeof FAULTS)[number];
 
-function applyHarm(fleet: ViewFleet, harm: Harm, random: () => number): void {
+function applyFault(
+  fleet: ViewFleet,
+  fault: Fault,
+  random: () => number,
+): void {
   const {instances} = fleet;
-  const one = instances[Math.floor(random() * instances.length)];
-  const share = harm === 'half-of-everything' ? 0.5 : 1;
-  const isStruck = () => random() < share;
-  if (harm === 'store-connections-of-one') {
-    one.client.silenceConnections(isStruck);
+  const target = instances[Math.floor(random() * instances.length)];
+  const share = fault === 'half-of-everything' ? 0.5 : 1;
+  const isAffected = () => random() < share;
+  if (fault === 'store-connections-of-one') {
+    target.client.silenceConnections(isAffected);
     return;
   }
-  if (harm === 'store-refuses-one') {
-    one.client.isRefused = true;
+  if (fault === 'store-refuses-one') {
+    target.client.isRefused = true;
     return;
   }
   for (const {client, network} of instances) {
-    if (harm !== 'streams') client.silenceConnections(isStruck);
-    if (harm !== 'store-connections-of-all') {
-      network.silenceConnections(isStruck);
+    if (fault !== 'streams') client.silenceConnections(isAffected);
+    if (fault !== 'store-connections-of-all') {
+      network.silenceConnections(isAffected);
     }
   }
 }
@@ -48,7 +52,7 @@
 const CHANGES = ['leave', 'evacuate', 'evacuate-and-return'] as const;
 type Change = (typeof CHANGES)[number];
 
-interface Play {
+interface Scenario {
   readonly fleet: ViewFleet;
   readonly clock: ManualClock;
   readonly random: () => number;
@@ -56,7 +60,7 @@
 
 /** Makes upstream `b` leave, or evacuates its domain; returns what is late. */
 async function runChange(
-  {fleet, clock, random}: Play,
+  {fleet, clock, random}: Scenario,
   change: Change,
 ): Promise<string[]> {
   const {store} = fleet;
@@ -96,12 +100,12 @@
   try {
     await fleet.start();
     await clock.advance(START_MS + random() * CHANGE_WITHIN_MS);
-    const harm = HARMS[Math.floor(random() * HARMS.length)];
-    applyHarm(fleet, harm, random);
+    const fault = FAULTS[Math.floor(random() * FAULTS.length)];
+    applyFault(fleet, fault, random);
     await clock.advance(random() * CHANGE_WITHIN_MS);
     const late = await runChange({fleet, clock, random}, change);
     return late.map(
-      each => `seed ${seed}, ${count}, ${harm}, ${change}: ${each}`,
+      each => `seed ${seed}, ${count}, ${fault}, ${change}: ${each}`,
     );
   } finally {
     fleet.stop();
--- a/packages/gateway/src/suspect-propagation.test.ts
+++ b/packages/gateway/src/suspect-propagation.test.ts
@@ -5,7 +5,7 @@
 import {ViewFleet} from './test-utils/view-fleet.ts';
 
 /** Milliseconds after the third crash in which every instance has to know. */
-const SPREAD_BOUND_MS = 3000;
+const MAX_PROPAGATION_MS = 3000;
 /** Milliseconds after which a fleet has its watchers and streams. */
 const START_MS = 8000;
 const SEED_COUNT = 8;
@@ -39,7 +39,7 @@
         });
         if (index < witnesses.length - 1) await clock.advance(300);
       }
-      await clock.advance(SPREAD_BOUND_MS);
+      await clock.advance(MAX_PROPAGATION_MS);
       const behind = fleet.instances.filter(
         ({suspects}) => !suspects.isQuarantined('poison'),
       );
--- a/packages/gateway/src/test-utils/view-fleet.ts
+++ b/packages/gateway/src/test-utils/view-fleet.ts
@@ -86,7 +86,7 @@
   readonly instances: ViewInstance[] = [];
   private readonly options: ViewFleetOptions;
   private readonly listeners = new Map<string, (socket: PeerSocket) => void>();
-  private readonly ends: Array<() => void> = [];
+  private readonly stopHandlers: Array<() => void> = [];
 
   constructor(options: ViewFleetOptions) {
     this.options = options;
@@ -99,7 +99,7 @@
   }
 
   stop(): void {
-    for (const end of this.ends) end();
+    for (const stop of this.stopHandlers) stop();
   }
 
   /** Lists the instances that would still send work to an upstream. */
@@ -186,7 +186,7 @@
       freshness: view.freshness,
       freshnessGuard: view.freshnessGuard,
     });
-    this.ends.push(() => {
+    this.stopHandlers.push(() => {
       view.watchHub.stop();
       void view.membership.stop();
       view.exchange.stop();
--- a/packages/gateway/src/test-utils/view-peer-network.ts
+++ b/packages/gateway/src/test-utils/view-peer-network.ts
@@ -6,7 +6,7 @@
 export class ViewPeerNetwork extends PeerNetwork {
   private readonly clock: ManualClock;
   private readonly listeners: Map<string, (socket: PeerSocket) => void>;
-  private readonly open = new Set<Connection>();
+  private readonly openConnections = new Set<Connection>();
 
   constructor(
     clock: ManualClock,
@@ -17,9 +17,9 @@
     this.listeners = listeners;
   }
 
-  silenceConnections(isStruck: () => boolean): void {
-    for (const connection of this.open) {
-      if (isStruck()) connection.isSilent = true;
+  silenceConnections(isAffected: () => boolean): void {
+    for (const connection of this.openConnections) {
+      if (isAffected()) connection.isSilent = true;
     }
   }
 
@@ -34,20 +34,20 @@
   async connect(address: string): Promise<PeerSocket> {
     await waitFor(this.clock, LATENCY_MS);
     const connection = {isSilent: false};
-    const near = new ViewPeerSocket(this.clock, connection);
-    const far = new ViewPeerSocket(this.clock, connection);
-    near.other = far;
-    far.other = near;
-    this.open.add(connection);
-    this.listeners.get(address)?.(far);
-    return near;
+    const connectingSocket = new ViewPeerSocket(this.clock, connection);
+    const acceptedSocket = new ViewPeerSocket(this.clock, connection);
+    connectingSocket.remoteSocket = acceptedSocket;
+    acceptedSocket.remoteSocket = connectingSocket;
+    this.openConnections.add(connection);
+    this.listeners.get(address)?.(acceptedSocket);
+    return connectingSocket;
   }
 
   close(): void {}
 }
 
 class ViewPeerSocket implements PeerSocket {
-  other: ViewPeerSocket | undefined;
+  remoteSocket: ViewPeerSocket | undefined;
   private readonly clock: ManualClock;
   private readonly connection: Connection;
   private handleData: (bytes: Uint8Array) => void = () => {};
@@ -60,7 +60,7 @@
   }
 
   send(bytes: Uint8Array): void {
-    this.deliver(other => other.handleData(bytes));
+    this.deliver(socket => socket.handleData(bytes));
   }
 
   setDataHandler(handleData: (bytes: Uint8Array) => void): void {
@@ -74,14 +74,15 @@
   close(): void {
     if (this.isClosed) return;
     this.isClosed = true;
-    this.deliver(other => other.close());
+    this.deliver(socket => socket.close());
     this.handleClose();
   }
 
-  private deliver(passOn: (other: ViewPeerSocket) => void): void {
+  private deliver(deliverTo: (socket: ViewPeerSocket) => void): void {
     if (this.connection.isSilent) return;
     this.clock.schedule(LATENCY_MS, () => {
-      if (!this.connection.isSilent && this.other) passOn(this.other);
+      if (!this.connection.isSilent && this.remoteSocket)
+        deliverTo(this.remoteSocket);
     });
   }
 }
--- a/packages/gateway/src/test-utils/view-store-client.ts
+++ b/packages/gateway/src/test-utils/view-store-client.ts
@@ -30,9 +30,9 @@
   private readonly clock: ManualClock;
   private readonly store: ViewStore;
   private readonly watch: PolledWatch;
-  private readonly open = new Set<Connection>();
-  private idle: Connection[] = [];
-  private history = new AbortController();
+  private readonly openConnections = new Set<Connection>();
+  private idleConnections: Connection[] = [];
+  private historyController = new AbortController();
 
   constructor(clock: ManualClock, store: ViewStore) {
     super();
@@ -45,17 +45,17 @@
     });
   }
 
-  silenceConnections(isStruck: () => boolean): void {
-    for (const connection of this.open) {
-      if (isStruck()) connection.isSilent = true;
+  silenceConnections(isAffected: () => boolean): void {
+    for (const connection of this.openConnections) {
+      if (isAffected()) connection.isSilent = true;
     }
   }
 
   /** Ends the calls of watches that wait now, as a store that forgets its history does. */
   endWatches(): void {
     const error = new StoreRefusalError('the history is gone', 'none');
-    this.history.abort(error);
-    this.history = new AbortController();
+    this.historyController.abort(error);
+    this.historyController = new AbortController();
   }
 
   async readRange(range: KeyRange): Promise<RangeResult> {
@@ -101,23 +101,23 @@
   }
 
   private async callWatch(call: WatchCall): Promise<WatchCallAnswer> {
-    const history = this.history.signal;
+    const historySignal = this.historyController.signal;
     return this.send(async () => {
-      const waiting = AbortSignal.any([
+      const waitSignal = AbortSignal.any([
         call.signal,
-        history,
-        this.createEnd(call),
+        historySignal,
+        this.createWaitSignal(call),
       ]);
       for (;;) {
-        history.throwIfAborted();
+        historySignal.throwIfAborted();
         const answer = this.store.listChanges(call);
-        if (answer.events.length > 0 || waiting.aborted) return answer;
-        await this.store.waitForChange(waiting);
+        if (answer.events.length > 0 || waitSignal.aborted) return answer;
+        await this.store.waitForChange(waitSignal);
       }
     }, call.signal);
   }
 
-  private createEnd({waitMs}: WatchCall): AbortSignal {
+  private createWaitSignal({waitMs}: WatchCall): AbortSignal {
     const controller = new AbortController();
     this.clock.schedule(waitMs, () => controller.abort());
     return controller.signal;
@@ -141,20 +141,20 @@
     run: () => Promise<Answer>,
     signal: AbortSignal,
   ): Promise<Answer> {
-    const kept = this.idle.pop();
-    const connection = kept ?? {isSilent: false};
-    this.open.add(connection);
+    const reused = this.idleConnections.pop();
+    const connection = reused ?? {isSilent: false};
+    this.openConnections.add(connection);
     try {
       await waitFor(this.clock, LATENCY_MS, signal);
       if (this.isRefused) throw new StoreError('refused', 'none');
       const answer = connection.isSilent ? undefined : await run();
       if (connection.isSilent) await waitFor(this.clock, Infinity, signal);
       signal.throwIfAborted();
-      this.idle.push(connection);
+      this.idleConnections.push(connection);
       return answer!;
     } catch (error) {
-      this.open.delete(connection);
-      if (kept) this.idle = [];
+      this.openConnections.delete(connection);
+      if (reused) this.idleConnections = [];
       throw error;
     }
   }
--- a/packages/gateway/src/test-utils/view-store.ts
+++ b/packages/gateway/src/test-utils/view-store.ts
@@ -21,7 +21,7 @@
   private revision = 1;
   private readonly keyValues = new Map<string, KeyValue>();
   private readonly events: WatchEvent[] = [];
-  private readonly waiting = new Set<() => void>();
+  private readonly waiters = new Set<() => void>();
 
   putUpstream(id: string, value: 'ready' | 'leaving'): void {
     this.put(UPSTREAM_PREFIX + id, value);
@@ -77,11 +77,11 @@
   waitForChange(signal: AbortSignal): Promise<void> {
     return new Promise(resolve => {
       const wake = () => {
-        this.waiting.delete(wake);
+        this.waiters.delete(wake);
         signal.removeEventListener('abort', wake);
         resolve();
       };
-      this.waiting.add(wake);
+      this.waiters.add(wake);
       signal.addEventListener('abort', wake, {once: true});
     });
   }
@@ -89,7 +89,7 @@
   private addEvent(event: Omit<WatchEvent, 'modRevision'>): number {
     this.revision += 1;
     this.events.push({...event, modRevision: this.revision});
-    for (const wake of [...this.waiting]) wake();
+    for (const wake of [...this.waiters]) wake();
     return this.revision;
   }
 }
--- a/packages/gateway/src/upstream-pool.ts
+++ b/packages/gateway/src/upstream-pool.ts
@@ -168,7 +168,7 @@
           ...load,
           slowness: slowness.getValue(nowMs),
         }),
-        hasSendQuota: this.hasShare(upstream, nowMs),
+        hasSendQuota: this.hasSendQuota(upstream, nowMs),
       });
     }
     return candidates;
@@ -195,7 +195,7 @@
   // The first send waits for a part of the pause between two, drawn at random:
   // instances that start or lose their coordinator together would else all send
   // at once.
-  private hasShare(upstream: PooledUpstream, nowMs: number): boolean {
+  private hasSendQuota(upstream: PooledUpstream, nowMs: number): boolean {
     const perSecond = this.getOwnRate(upstream.record, nowMs);
     if (perSecond === undefined) {
       upstream.coldPacer = undefined;
--- a/packages/gateway/src/upstream-registry.test.ts
+++ b/packages/gateway/src/upstream-registry.test.ts
@@ -11,7 +11,7 @@
 } from './request-protocol.ts';
 import {UpstreamRegistry} from './upstream-registry.ts';
 
-class ListingLogger extends EventLogger {
+class RecordingLogger extends EventLogger {
   readonly names: EventName[] = [];
 
   logEvent(name: EventName): void {
@@ -22,11 +22,11 @@
 const protocol = {
   parseUpstream: (key: string, text: string): RegisteredUpstream => {
     if (text === 'unreadable') throw new UnreadableEntryError('no address');
-    const [lifeText, writeCount] = text.split('*');
-    const [name, startedAt] = lifeText.split('#');
-    const [, life] = name.split('@');
+    const [incarnationText, writeCount] = text.split('*');
+    const [name, startedAt] = incarnationText.split('#');
+    const [, incarnation] = name.split('@');
     return {
-      id: life === undefined ? key : `${key}@${life}`,
+      id: incarnation === undefined ? key : `${key}@${incarnation}`,
       startedAtMs: startedAt === undefined ? undefined : Number(startedAt),
       service: 'plain',
       address: '10.0.0.1:1',
@@ -40,7 +40,7 @@
 
 function createRegistry() {
   const clock = new ManualClock();
-  const logger = new ListingLogger();
+  const logger = new RecordingLogger();
   const registry = new UpstreamRegistry(
     protocol,
     logger,
@@ -84,13 +84,13 @@
 
 test('an entry that a peer no longer knows is gone, whatever is left of the grace', () => {
   const {registry} = createRegistry();
-  let askedCount = 0;
-  registry.addMissingListener(() => (askedCount += 1));
+  let missingCallCount = 0;
+  registry.addMissingListener(() => (missingCallCount += 1));
   registry.beginGrace();
   registry.endGraceOfMissing('peer 10.0.0.2:1');
   assert.equal(registry.isInGrace(), true);
   registry.replaceEntries([], 2, 'store');
-  assert.equal(askedCount, 1);
+  assert.equal(missingCallCount, 1);
   registry.endGraceOfMissing('peer 10.0.0.2:1');
   assert.deepEqual(registry.listUpstreams(), []);
   assert.equal(registry.isInGrace(), false);
@@ -167,8 +167,8 @@
 
 test('an upstream that said itself that it leaves takes no work again in this life, whatever the store or a peer says', () => {
   const {logger, registry} = createRegistry();
-  let toldCount = 0;
-  registry.addLeavingReportListener(() => (toldCount += 1));
+  let reportCount = 0;
+  registry.addLeavingReportListener(() => (reportCount += 1));
   const listReady = () =>
     registry
       .listUpstreams()
@@ -177,12 +177,12 @@
   const entries = [{key: 'a', value: 'ready@1'}];
   registry.replaceEntries(entries, 2, 'store');
   const digest = registry.getDigest();
-  const heard = {source: 'answer', requestId: 'r1'};
-  registry.recordLeaving('a@1', heard);
-  registry.recordLeaving('a@1', heard);
-  registry.recordLeaving('nobody', heard);
+  const origin = {source: 'answer', requestId: 'r1'};
+  registry.recordLeaving('a@1', origin);
+  registry.recordLeaving('a@1', origin);
+  registry.recordLeaving('nobody', origin);
   assert.deepEqual(listReady(), []);
-  assert.equal(toldCount, 1);
+  assert.equal(reportCount, 1);
   assert.deepEqual(registry.listSelfReportedLeaving(), ['a@1']);
   const lines = logger.names.filter(name => name === 'upstream.leaving');
   assert.equal(lines.length, 2, 'one for b of the registry, one for a');
@@ -237,12 +237,12 @@
     registry.addRestartListener(({previousId, newId}) =>
       restarts.push(`${previousId} ${newId}`),
     );
-    const told = () => registry.recordLeaving('a', {source: 'answer'});
-    if (!isLater) told();
+    const reportLeaving = () => registry.recordLeaving('a', {source: 'answer'});
+    if (!isLater) reportLeaving();
     await clock.advance(100);
     const startedAtMs = clock.getNow();
     await clock.advance(100);
-    if (isLater) told();
+    if (isLater) reportLeaving();
     const value = `ready@2#${startedAtMs}`;
     registry.applyEvents([{type: 'put', key: 'a', value, modRevision: 2}]);
     const [upstream] = registry.listUpstreams().filter(({id}) => id === 'a@2');
@@ -308,7 +308,7 @@
 
 test('an instance is not loaded by a change before its first reading', () => {
   const clock = new ManualClock();
-  const logger = new ListingLogger();
+  const logger = new RecordingLogger();
   const registry = new UpstreamRegistry(
     protocol,
     logger,
--- a/packages/gateway/src/upstream-registry.ts
+++ b/packages/gateway/src/upstream-registry.ts
@@ -54,7 +54,7 @@
  * Milliseconds after an outage in which registrations that ran out during it
  * may come back; work still goes to their upstreams until then.
  */
-const LAPSE_GRACE_MS = 2200;
+const EXPIRY_GRACE_MS = 2200;
 /**
  * Milliseconds after which a withheld entry is accepted if the store still has it. Longer
  * than the time in which the entry of an upstream that is gone expires.
@@ -64,7 +64,7 @@
  * Ids told to a peer of upstreams whose leaving only answers told of; 8 KB of a
  * message. More at once means that the store's word is on its way as well.
  */
-const MAX_TOLD_IDS = 256;
+const MAX_SELF_REPORTED_IDS = 256;
 
 /** The upstreams as they stand registered in the store, at a store revision. */
 export class UpstreamRegistry {
@@ -82,21 +82,21 @@
   >;
   /** Entries that were not there after an outage, while they may come back. */
   private readonly missing = new Set<string>();
-  private grace: Timer | undefined;
-  private readonly departed = new RemovedEntries();
+  private graceTimer: Timer | undefined;
+  private readonly removedEntries = new RemovedEntries();
   private withheldTimer: Timer | undefined;
   /** When a revision of a later store era was last detected. */
   private restoredAtMs = -Infinity;
   private readonly missingListeners: Array<() => void> = [];
-  private readonly toldListeners: Array<() => void> = [];
+  private readonly leavingReportListeners: Array<() => void> = [];
   private readonly restartListeners: Array<(restart: UpstreamRestart) => void> =
     [];
   private readonly revision = new ContentRevision();
   /** Store revision of the last full read that was not stale. */
   private lastReadRevision = 0;
   private readonly changes = new ChangeRevisions();
-  private heardAtMs = 0;
-  private heardFrom = '';
+  private updatedAtMs = 0;
+  private updateSource = '';
   /** The digest of the entries; undefined once they have changed. */
   private digest: string | undefined;
 
@@ -126,8 +126,8 @@
   getState(): RegistryState {
     return {
       storeRevision: this.revision.getNewest(),
-      ageMs: Math.round(this.clock.getNow() - this.heardAtMs),
-      source: this.heardFrom,
+      ageMs: Math.round(this.clock.getNow() - this.updatedAtMs),
+      source: this.updateSource,
     };
   }
 
@@ -166,12 +166,12 @@
 
   /** Notes that the store is back after an outage, in which entries may have run out. */
   beginGrace(): void {
-    this.grace?.cancel();
-    this.grace = this.clock.schedule(LAPSE_GRACE_MS, () =>
+    this.graceTimer?.cancel();
+    this.graceTimer = this.clock.schedule(EXPIRY_GRACE_MS, () =>
       this.endGrace('grace'),
     );
     this.logger.logEvent('upstream.grace', {
-      forMs: LAPSE_GRACE_MS,
+      forMs: EXPIRY_GRACE_MS,
       storeRevision: this.revision.getNewest(),
     });
   }
@@ -186,7 +186,7 @@
    * it, whatever the store or a peer's copy still says: the store may be away for long
    * after the upstream has begun to leave.
    */
-  recordLeaving(id: string, heard: ReportOrigin): void {
+  recordLeaving(id: string, origin: ReportOrigin): void {
     if (this.leavingIds.has(id)) return;
     this.leavingIds.addSelfReported(id, this.clock.getNow());
     const entry = this.findEntry(id);
@@ -195,9 +195,9 @@
       ...entry,
       upstream: {...entry.upstream, isLeaving: true},
     });
-    this.logUpstream('upstream.leaving', entry.upstream, heard);
+    this.logUpstream('upstream.leaving', entry.upstream, origin);
     this.callListeners();
-    for (const listener of this.toldListeners) listener();
+    for (const listener of this.leavingReportListeners) listener();
   }
 
   /** Adds a function that is called when an upstream has started again under its id. */
@@ -207,7 +207,7 @@
 
   /** Adds a function that is called when an upstream's own word is news. */
   addLeavingReportListener(listener: () => void): void {
-    this.toldListeners.push(listener);
+    this.leavingReportListeners.push(listener);
   }
 
   /** Counts the upstreams that leave, by whomever it was told. */
@@ -222,12 +222,12 @@
       .filter(({isRegisteredLeaving}) => !isRegisteredLeaving)
       .map(({upstream}) => upstream.id)
       .filter(id => this.leavingIds.isSelfReported(id));
-    return ids.slice(-MAX_TOLD_IDS);
+    return ids.slice(-MAX_SELF_REPORTED_IDS);
   }
 
   /** Returns whether entries that are missing may still come back. */
   isInGrace(): boolean {
-    return this.grace !== undefined;
+    return this.graceTimer !== undefined;
   }
 
   /**
@@ -238,14 +238,14 @@
    */
   endGraceOfMissing(source: string): void {
     if (this.missing.size === 0) return;
-    this.grace?.cancel();
+    this.graceTimer?.cancel();
     this.endGrace(source);
   }
 
   /** Ends the grace, so that nothing is left to keep a process that stops. */
   stop(): void {
-    this.grace?.cancel();
-    this.grace = undefined;
+    this.graceTimer?.cancel();
+    this.graceTimer = undefined;
     this.withheldTimer?.cancel();
     this.withheldTimer = undefined;
   }
@@ -260,7 +260,7 @@
     source: string,
   ): void {
     if (storeRevision < this.lastReadRevision) return;
-    this.recordEra(storeRevision);
+    this.recordStoreEra(storeRevision);
     this.revision.recordFullRead(storeRevision);
     this.applyEntries(keyValues, storeRevision, source);
   }
@@ -276,7 +276,7 @@
       this.lastReadRevision,
     );
     if (storeRevision < knownRevision) return false;
-    this.recordEra(storeRevision);
+    this.recordStoreEra(storeRevision);
     this.revision.recordCopy(storeRevision);
     this.applyEntries(entries, storeRevision, source);
     this.endGraceOfMissing(source);
@@ -289,8 +289,8 @@
     source: string,
   ): void {
     this.lastReadRevision = storeRevision;
-    this.recordHeard(source);
-    this.departed.removeAllWithheld();
+    this.recordUpdate(source);
+    this.removedEntries.removeAllWithheld();
     const hasNewerChange = (key: string) =>
       this.changes.hasNewerChange(key, storeRevision);
     const listed = new Set(keyValues.map(({key}) => key));
@@ -298,25 +298,25 @@
       if (!listed.has(key) && !hasNewerChange(key))
         this.removeEntry(key, source);
     }
-    const before = new Set(this.entries.keys());
+    const keysBefore = new Set(this.entries.keys());
     for (const {key, value} of keyValues) {
       if (!hasNewerChange(key)) this.setEntry(key, value, source, false);
     }
     this.changes.removeUpTo(storeRevision);
-    this.logReading(before, source);
+    this.logFullRead(keysBefore, source);
     this.callListeners();
   }
 
   /** Takes the changes that the watch tells of. */
   applyEvents(events: readonly WatchEvent[]): void {
-    this.recordHeard('watch');
+    this.recordUpdate('watch');
     const readRevision = this.revision.getNewest();
     for (const event of events) {
       // A watch that began before the last whole reading repeats older changes.
       // Those of one transaction share a revision, and all of them count.
       if (event.modRevision <= readRevision) continue;
       this.changes.recordChange(event);
-      this.recordEra(event.modRevision);
+      this.recordStoreEra(event.modRevision);
       this.revision.recordChange(event.modRevision);
       if (event.type === 'delete') this.removeEntry(event.key, 'watch');
       else this.setEntry(event.key, event.value, 'watch');
@@ -357,10 +357,10 @@
 
   // One line for all that a reading brings: a line each was 12,460 of them at the
   // start of 89 instances before 140 upstreams.
-  private logReading(before: ReadonlySet<string>, source: string): void {
+  private logFullRead(keysBefore: ReadonlySet<string>, source: string): void {
     const counts = new Map<string, number>();
     for (const [key, {upstream}] of this.entries) {
-      if (before.has(key)) continue;
+      if (keysBefore.has(key)) continue;
       const count = counts.get(upstream.service) ?? 0;
       counts.set(upstream.service, count + 1);
     }
@@ -378,17 +378,17 @@
     key: string,
     text: string,
     source: string,
-    isListedAlone = true,
+    isSingleChange = true,
   ): void {
     this.digest = undefined;
     const parsed = this.reader.parseEntry(key, text, source);
-    if (parsed && this.isOutdated(key, parsed, isListedAlone)) {
-      this.departed.addWithheld(key, text);
+    if (parsed && this.isOutdated(key, parsed, isSingleChange)) {
+      this.removedEntries.addWithheld(key, text);
       this.scheduleAcceptance();
       return;
     }
     this.missing.delete(key);
-    this.departed.removeEntry(key);
+    this.removedEntries.removeEntry(key);
     if (!parsed) {
       // It names no upstream, whatever it named before; the next one under its key may.
       this.entries.delete(key);
@@ -412,13 +412,13 @@
     this.entries.set(key, {text, upstream, isRegisteredLeaving});
     if (isLeaving) this.leavingIds.addRegistered(parsed.id);
     if (before && before.isLeaving === isLeaving) return;
-    if (!isLeaving && !isListedAlone && !isRestart) return;
+    if (!isLeaving && !isSingleChange && !isRestart) return;
     if (isLeaving) {
       this.logUpstream('upstream.leaving', parsed, {source});
       return;
     }
-    const listed = isRestart ? 'upstream.restarted' : 'upstream.listed';
-    this.logUpstream(listed, parsed, {source});
+    const eventName = isRestart ? 'upstream.restarted' : 'upstream.listed';
+    this.logUpstream(eventName, parsed, {source});
   }
 
   // A restored store may hold the entry of an upstream that has since been removed, or of
@@ -426,14 +426,16 @@
   private isOutdated(
     key: string,
     parsed: RegisteredUpstream,
-    isListedAlone: boolean,
+    isSingleChange: boolean,
   ): boolean {
-    const sinceMs = this.clock.getNow() - this.restoredAtMs;
-    if (sinceMs >= WITHHOLD_MS) return false;
+    const sinceRestoreMs = this.clock.getNow() - this.restoredAtMs;
+    if (sinceRestoreMs >= WITHHOLD_MS) return false;
     const known = this.entries.get(key)?.upstream;
     const knownStartMs = known?.startedAtMs ?? -Infinity;
     if (known && (parsed.startedAtMs ?? Infinity) < knownStartMs) return true;
-    return !known && this.departed.isOutdated(key, parsed, isListedAlone);
+    return (
+      !known && this.removedEntries.isOutdated(key, parsed, isSingleChange)
+    );
   }
 
   // Entries of upstreams that are gone expire in the meantime, because nothing renews them.
@@ -441,9 +443,9 @@
     this.withheldTimer?.cancel();
     this.withheldTimer = this.clock.schedule(WITHHOLD_MS, () => {
       this.withheldTimer = undefined;
-      const withheld = this.departed.removeAllWithheld();
+      const withheld = this.removedEntries.removeAllWithheld();
       for (const [key, text] of withheld) {
-        this.departed.removeEntry(key);
+        this.removedEntries.removeEntry(key);
         this.setEntry(key, text, 'grace');
       }
       if (withheld.length > 0) this.callListeners();
@@ -456,11 +458,11 @@
     before: RegisteredUpstream,
     {id, startedAtMs = Infinity}: RegisteredUpstream,
   ): void {
-    const toldAtMs =
+    const selfReportedAtMs =
       this.leavingIds.getSelfReportedAtMs(before.id) ?? -Infinity;
-    if (toldAtMs >= startedAtMs) {
-      this.leavingIds.addSelfReported(id, toldAtMs);
-      for (const listener of this.toldListeners) listener();
+    if (selfReportedAtMs >= startedAtMs) {
+      this.leavingIds.addSelfReported(id, selfReportedAtMs);
+      for (const listener of this.leavingReportListeners) listener();
     }
     for (const listener of this.restartListeners) {
       listener({previousId: before.id, newId: id, startedAtMs});
@@ -470,14 +472,15 @@
   private removeEntry(key: string, source: string): void {
     this.digest = undefined;
     this.reader.removeEntry(key);
-    this.departed.removeWithheld(key);
+    this.removedEntries.removeWithheld(key);
     const entry = this.entries.get(key);
     if (!entry || this.missing.has(key)) return;
-    const mayComeBack = this.grace !== undefined && !entry.upstream.isLeaving;
+    const mayComeBack =
+      this.graceTimer !== undefined && !entry.upstream.isLeaving;
     if (mayComeBack) this.missing.add(key);
     else {
       this.entries.delete(key);
-      this.departed.addEntry(key, entry.upstream);
+      this.removedEntries.addEntry(key, entry.upstream);
     }
     const {id, service, address} = entry.upstream;
     this.logger.logEvent(mayComeBack ? 'upstream.missing' : 'upstream.gone', {
@@ -490,12 +493,12 @@
   }
 
   private endGrace(source: string): void {
-    this.grace = undefined;
+    this.graceTimer = undefined;
     this.digest = undefined;
-    const lapsed = [...this.missing];
+    const expired = [...this.missing];
     this.missing.clear();
-    for (const key of lapsed) this.removeEntry(key, source);
-    if (lapsed.length > 0) this.callListeners();
+    for (const key of expired) this.removeEntry(key, source);
+    if (expired.length > 0) this.callListeners();
   }
 
   private findEntry(id: string): (Entry & {key: string}) | undefined {
@@ -508,14 +511,14 @@
   private logUpstream(
     name: EventName,
     {id, service, address, failureDomain}: RegisteredUpstream,
-    heard: ReportOrigin,
+    origin: ReportOrigin,
   ): void {
     this.logger.logEvent(name, {
       upstream: id,
       service,
       address,
       failureDomain,
-      ...heard,
+      ...origin,
       storeRevision: this.revision.getNewest(),
     });
   }
@@ -527,16 +530,16 @@
     ).length;
   }
 
-  private recordEra(storeRevision: number): void {
+  private recordStoreEra(storeRevision: number): void {
     const isLaterEra =
       splitEraRevision(storeRevision).era >
       splitEraRevision(this.revision.getNewest()).era;
     if (isLaterEra && this.isLoaded()) this.restoredAtMs = this.clock.getNow();
   }
 
-  private recordHeard(source: string): void {
-    this.heardAtMs = this.clock.getNow();
-    this.heardFrom = source;
+  private recordUpdate(source: string): void {
+    this.updatedAtMs = this.clock.getNow();
+    this.updateSource = source;
   }
 
   private callListeners(): void {
--- a/packages/gateway/src/view-freshness.test.ts
+++ b/packages/gateway/src/view-freshness.test.ts
@@ -10,11 +10,11 @@
 const START_MS = 8000;
 const STEP_MS = 25;
 const SEED_COUNT = 12;
-const HARMED_MS = 8000;
+const FAULTS_MS = 8000;
 const RECOVERY_MS = 3000;
 
 /** Changes that the store has acknowledged, with the times at which it did. */
-class Acknowledged {
+class AcknowledgedChanges {
   readonly configurations: Array<{atMs: number; revision: number}> = [];
   readonly leaves: Array<{atMs: number; id: string}> = [];
   private readonly fleet: ViewFleet;
@@ -76,12 +76,12 @@
 }
 
 /** Strikes some instances at random; returns a function that ends what does not end itself. */
-function applyHarm(fleet: ViewFleet, random: () => number): () => void {
+function applyFault(fleet: ViewFleet, random: () => number): () => void {
   const {instances} = fleet;
   const share = random();
-  const struck = instances.filter(() => random() < share);
+  const affected = instances.filter(() => random() < share);
   const kind = Math.floor(random() * 5);
-  for (const {client, network} of struck) {
+  for (const {client, network} of affected) {
     if (kind === 0) client.silenceConnections(() => true);
     if (kind === 1) network.silenceConnections(() => true);
     if (kind === 2) client.isRefused = true;
@@ -94,27 +94,29 @@
     }
   }
   return () => {
-    for (const {client} of struck) {
+    for (const {client} of affected) {
       client.isRefused = false;
       client.readDelaysMs.clear();
     }
   };
 }
 
-async function runHarms(seed: number): Promise<string[]> {
+async function runFaults(seed: number): Promise<string[]> {
   const random = createSeededRandom(seed);
   const clock = new ManualClock();
   const fleet = createFleet(clock, random, random() < 0.5 ? 9 : 24);
-  const acknowledged = new Acknowledged(fleet, clock);
+  const acknowledged = new AcknowledgedChanges(fleet, clock);
   const unknown = new Set<string>();
-  const ends: Array<() => void> = [];
-  let left = 0;
-  const advance = async (durationMs: number, isHarmed: boolean) => {
+  const endFaults: Array<() => void> = [];
+  let leaveCount = 0;
+  const advance = async (durationMs: number, hasFaults: boolean) => {
     for (let passedMs = 0; passedMs < durationMs; passedMs += STEP_MS) {
-      if (isHarmed && random() < 0.02) ends.push(applyHarm(fleet, random));
-      if (isHarmed && random() < 0.02) ends.shift()?.();
+      if (hasFaults && random() < 0.02)
+        endFaults.push(applyFault(fleet, random));
+      if (hasFaults && random() < 0.02) endFaults.shift()?.();
       if (random() < 0.02) acknowledged.putConfiguration();
-      if (random() < 0.02 && left < 59) acknowledged.putLeave(`u${left++}`);
+      if (random() < 0.02 && leaveCount < 59)
+        acknowledged.putLeave(`u${leaveCount++}`);
       // What callers would ask for.
       for (const {freshnessGuard} of fleet.instances) {
         if (freshnessGuard.isRefreshDue()) void freshnessGuard.refresh();
@@ -129,8 +131,8 @@
   };
   await fleet.start();
   await clock.advance(START_MS);
-  await advance(HARMED_MS, true);
-  for (const end of ends) end();
+  await advance(FAULTS_MS, true);
+  for (const endFault of endFaults) endFault();
   await advance(RECOVERY_MS, false);
   for (const {id, freshness} of fleet.instances) {
     if (freshness.isStale()) unknown.add(`seed ${seed}, ${id} stays stale`);
@@ -143,7 +145,7 @@
 test('an instance never has evidence of knowing what it does not know, and is fresh again after every harm', async () => {
   const unknown: string[] = [];
   for (let seed = 1; seed <= SEED_COUNT; seed++) {
-    unknown.push(...(await runHarms(seed)));
+    unknown.push(...(await runFaults(seed)));
   }
   assert.deepEqual(unknown, []);
 });
@@ -156,9 +158,10 @@
     await fleet.start();
     await clock.advance(START_MS);
     const stale = new Set<string>();
-    let left = 0;
+    let changeCount = 0;
     for (let step = 0; step < 1500; step++) {
-      if (random() < 0.015) fleet.store.putUpstream(`u${left++ % 60}`, 'ready');
+      if (random() < 0.015)
+        fleet.store.putUpstream(`u${changeCount++ % 60}`, 'ready');
       if (random() < 0.005) fleet.store.putConfiguration(2 + step);
       await clock.advance(STEP_MS);
       for (const {id, freshness} of fleet.instances) {
--- a/packages/gateway/src/watch-timing.ts
+++ b/packages/gateway/src/watch-timing.ts
@@ -11,16 +11,16 @@
  * Part of it by which an answer may be late: 0.4 s of 2 s, where a slow store
  * takes 0.24 s.
  */
-const MARGIN_SHARE = 0.2;
+const TIMEOUT_MARGIN_SHARE = 0.2;
 /**
  * Part of the time in which a change must be in force for which the changes behind a first
  * one are gathered. Registrations change in series, and each answer costs every watcher
  * its next call. With the heartbeat and its margin 0.8 of that time are used up where the
  * connection falls silent meanwhile, which leaves the rest for the next one.
  */
-const GATHER_SHARE = 0.1;
+const BATCH_DELAY_SHARE = 0.1;
 /** Part of that time that gathering may take where many instances watch. */
-const MAX_GATHER_SHARE = 1 / 3;
+const MAX_BATCH_DELAY_SHARE = 1 / 3;
 /**
  * Part of that time within which an answer should confirm what is known, also where changes
  * came late in a call; instances that follow others add their own wait to it.
@@ -30,7 +30,7 @@
  * Milliseconds to gather changes for each instance that watches: the calls of
  * the whole fleet for one range stay at some 80 a second, however many watch.
  */
-const GATHER_MS_PER_WATCHER = 12;
+const BATCH_DELAY_MS_PER_WATCHER = 12;
 
 /** What the pace of a watch follows from. */
 export interface WatchTimingInput {
@@ -47,13 +47,13 @@
   const {followWithinMs} = input;
   return {
     waitMs: followWithinMs * HEARTBEAT_SHARE,
-    timeoutMarginMs: followWithinMs * MARGIN_SHARE,
+    timeoutMarginMs: followWithinMs * TIMEOUT_MARGIN_SHARE,
     confirmWithinMs: followWithinMs * CONFIRM_SHARE,
     get batchDelayMs() {
-      const forLoadMs = input.getWatcherCount() * GATHER_MS_PER_WATCHER;
+      const forLoadMs = input.getWatcherCount() * BATCH_DELAY_MS_PER_WATCHER;
       return Math.min(
-        followWithinMs * MAX_GATHER_SHARE,
-        Math.max(followWithinMs * GATHER_SHARE, forLoadMs),
+        followWithinMs * MAX_BATCH_DELAY_SHARE,
+        Math.max(followWithinMs * BATCH_DELAY_SHARE, forLoadMs),
       );
     },
   };
