--- a/packages/gateway/src/entry-reader.ts
+++ b/packages/gateway/src/entry-reader.ts
@@ -5,14 +5,14 @@
   type RequestProtocol,
 } from './request-protocol.ts';
 
-/** Entries kept that could not be read. */
+/** Maximum number of remembered unreadable entries; the oldest are evicted first. */
 const MAX_UNREADABLE = 1000;
 
-/** Reads registrations of upstreams; those that cannot be read are logged once each. */
+/** Parses registrations of upstreams and logs each unreadable one once. */
 export class EntryReader {
   private readonly protocol: Pick<RequestProtocol, 'parseUpstream'>;
   private readonly logger: EventLogger;
-  /** Texts that could not be read, by their key. */
+  /** Values that could not be parsed, by key. */
   private readonly unreadable = new Map<string, string>();
 
   constructor(
@@ -23,7 +23,7 @@
     this.logger = logger;
   }
 
-  /** Parses an entry; undefined where it names no upstream. */
+  /** Parses an entry; undefined if it is unreadable. */
   parseEntry(
     key: string,
     text: string,
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Forgets an entry that is gone. */
+  /** Forgets a removed entry, so that it is logged again if it returns. */
   removeEntry(key: string): void {
     this.unreadable.delete(key);
   }
--- a/packages/gateway/src/evacuated-domains.test.ts
+++ b/packages/gateway/src/evacuated-domains.test.ts
@@ -44,7 +44,7 @@
   assert.deepEqual(evacuated.getState(), {storeRevision: 20, failureDomains});
 });
 
-test('a state told while changes may be missing ends no evacuation that a peer knows', () => {
+test('a state sent while changes may be missing ends no evacuation that a peer has', () => {
   const {evacuated} = createEvacuatedDomains();
   const peer = createEvacuatedDomains().evacuated;
   peer.applyEvents([{type: 'put', key: 'e/b', value: '', modRevision: 6}]);
--- a/packages/gateway/src/evacuated-domains.ts
+++ b/packages/gateway/src/evacuated-domains.ts
@@ -9,7 +9,7 @@
 export interface EvacuationChange {
   readonly begun: readonly string[];
   readonly ended: readonly string[];
-  /** Who told of it: `watch`, `store` or a peer. */
+  /** Origin of the change: `watch`, `store`, a peer, or `grace` at the end of a grace period. */
   readonly source: string;
   readonly storeRevision: number;
 }
@@ -21,13 +21,13 @@
   readonly clock: Clock;
 }
 
-/** Milliseconds for which evacuations that a restored store lacks stay in force. */
+/** Grace period for which evacuations that a restored store lacks stay in force. */
 const REWRITE_GRACE_MS = 2200;
 
 /**
- * The failure domains that operators have evacuated: their upstreams get nothing
- * new, and what runs there ends in peace. The newest state that is known, by the
- * store's revision, is in force, whether the store or a peer told of it.
+ * The failure domains that operators have evacuated. Their upstreams get no new work, and
+ * requests that run there are completed. The known state with the highest store revision is
+ * in force, whether it came from the store or from a peer.
  */
 export class EvacuatedDomains {
   private readonly parts: EvacuatedDomainsParts;
@@ -72,17 +72,17 @@
     return this.failureDomains.has(failureDomain);
   }
 
-  /** Returns when the last evacuation of a domain was seen to end, if one was. */
+  /** Returns when this instance last saw an evacuation of the domain end, if it saw one. */
   getEndedAtMs(failureDomain: string): number | undefined {
     return this.endedAtMs.get(failureDomain);
   }
 
-  /** Notes that changes may have been missed, which the next reading brings. */
+  /** Records that changes may have been missed, until the next full read. */
   recordMissedChanges(): void {
     this.revision.beginGap();
   }
 
-  /** Returns what peers are told. */
+  /** Returns the state for peers, at the revision up to which it is complete. */
   getState(): EvacuationState {
     return {
       storeRevision: this.revision.getComplete(),
@@ -94,7 +94,7 @@
     this.listeners.push(listener);
   }
 
-  /** Takes a whole reading of the operators' keys. */
+  /** Applies a full read of the operators' keys; one older than the last is ignored. */
   applyFullRead(
     keyValues: readonly Pick<KeyValue, 'key'>[],
     storeRevision: number,
@@ -105,12 +105,12 @@
     this.applyState({storeRevision, failureDomains}, 'store');
   }
 
-  /** Takes the changes of the operators' keys that the watch tells of. */
+  /** Applies changes of the operators' keys that the watch reports. */
   applyEvents(events: readonly WatchEvent[]): void {
     const failureDomains = new Set(this.failureDomains);
     const before = this.revision.getNewest();
     for (const {type, key, modRevision} of events) {
-      // A watch that began before the last reading repeats older changes.
+      // A watch that began before the last full read repeats older changes.
       if (modRevision <= before) continue;
       this.revision.recordChange(modRevision);
       for (const failureDomain of this.parseKey(key)) {
@@ -124,7 +124,7 @@
     this.applyDomains(failureDomains, 'watch');
   }
 
-  /** Puts a state in force if it is newer than what is known without gaps. */
+  /** Applies a peer's state if it is newer than the revision up to which this one is complete. */
   replaceState(state: EvacuationState, source: string): void {
     if (state.storeRevision <= this.revision.getComplete()) return;
     this.revision.recordCopy(state.storeRevision);
--- a/packages/gateway/src/leaving-ids.ts
+++ b/packages/gateway/src/leaving-ids.ts
@@ -1,30 +1,30 @@
-/** Ids kept of upstreams that were seen leaving; the oldest give way. */
+/** Maximum number of remembered ids; the oldest are evicted first. */
 const MAX_IDS = 10_000;
 
 /**
- * The ids of upstreams that leave or have left. An id names one life of an upstream,
- * and a life that has begun to leave never takes work again.
+ * The ids of upstreams that leave or have left. An id names one incarnation of an upstream,
+ * and an incarnation that has begun to leave never takes work again.
  */
 export class LeavingIds {
   private readonly ids = new Set<string>();
-  /** When an answer said it first, in milliseconds of this instance's clock. */
+  /** When each self-report arrived, in milliseconds of this instance's clock. */
   private readonly selfReportedAtMs = new Map<string, number>();
 
   has(id: string): boolean {
     return this.ids.has(id);
   }
 
-  /** Returns whether an answer of the upstream said it, here or at a peer. */
+  /** Returns whether an answer of the upstream reported it, to this instance or a peer. */
   isSelfReported(id: string): boolean {
     return this.selfReportedAtMs.has(id);
   }
 
-  /** Returns when an answer of the upstream said it, if one did. */
+  /** Returns when this instance learned of the self-report; undefined if there is none. */
   getSelfReportedAtMs(id: string): number | undefined {
     return this.selfReportedAtMs.get(id);
   }
 
-  /** Notes that the registration of an upstream says that it leaves. */
+  /** Records that the registration of an upstream marks it as leaving. */
   addRegistered(id: string): void {
     this.ids.add(id);
     if (this.ids.size <= MAX_IDS) return;
@@ -33,7 +33,7 @@
     this.selfReportedAtMs.delete(oldest);
   }
 
-  /** Notes that an answer of an upstream says that it leaves. */
+  /** Records that an answer of an upstream reported that it leaves. */
   addSelfReported(id: string, nowMs: number): void {
     this.selfReportedAtMs.set(id, nowMs);
     this.addRegistered(id);
--- a/packages/gateway/src/removed-entries.ts
+++ b/packages/gateway/src/removed-entries.ts
@@ -1,6 +1,6 @@
 import type {RegisteredUpstream} from '@hollowstack/routes';
 
-/** Maximum number of removed entries that are remembered; oldest evicted first. */
+/** Maximum number of remembered removals; the oldest are evicted first. */
 const MAX_ENTRIES = 1000;
 
 type LastWrite = Pick<RegisteredUpstream, 'startedAtMs' | 'writeCount'>;
@@ -9,7 +9,7 @@
 export class RemovedEntries {
   /** Start time and write count of each removed entry, by key. */
   private readonly lastWrites = new Map<string, LastWrite>();
-  /** Texts of entries that are not accepted yet, by key. */
+  /** Values of entries that are not accepted yet, by key. */
   private readonly withheld = new Map<string, string>();
 
   addEntry(key: string, {startedAtMs, writeCount}: RegisteredUpstream): void {
@@ -21,8 +21,9 @@
   }
 
   /**
-   * Returns whether an entry may date from before its removal. Within the same life, an
-   * entry of a full read always may; one of a watch event does unless its write count has risen.
+   * Returns whether an entry may date from before its removal. Within the same incarnation,
+   * an entry of a full read always may; one of a watch event may unless its write count has
+   * risen.
    */
   isOutdated(key: string, entry: LastWrite, isChange: boolean): boolean {
     const last = this.lastWrites.get(key);
@@ -37,18 +38,18 @@
     this.withheld.set(key, text);
   }
 
-  /** Drops a withheld entry that the store no longer has. */
+  /** Discards a withheld entry that the store no longer has. */
   removeWithheld(key: string): void {
     this.withheld.delete(key);
   }
 
-  /** Forgets a removal and drops the withheld entry of the same key. */
+  /** Forgets the removal of a key and discards its withheld entry. */
   removeEntry(key: string): void {
     this.lastWrites.delete(key);
     this.withheld.delete(key);
   }
 
-  /** Removes and returns all withheld entries, as pairs of key and text. */
+  /** Removes and returns all withheld entries, as pairs of key and value. */
   removeAllWithheld(): Array<[string, string]> {
     const withheld = [...this.withheld];
     this.withheld.clear();
--- a/packages/gateway/src/route-holder.ts
+++ b/packages/gateway/src/route-holder.ts
@@ -3,17 +3,17 @@
 import {RouteTable} from '@hollowstack/routes';
 import type {RequestProtocol} from './request-protocol.ts';
 
-/** The configuration in force and where it is from, for the log. */
+/** The configuration in force and its origin, for the log. */
 export interface RouteState {
-  /** 0 before the first one. */
+  /** 0 before the first configuration. */
   readonly revision: number;
-  /** Who offered it: `watch`, `store` or a peer; empty before the first one. */
+  /** Origin: `watch`, `store` or a peer; empty before the first configuration. */
   readonly source: string;
-  /** Milliseconds for which it has been in force. */
+  /** Milliseconds since it came into force, or since the start before the first one. */
   readonly inForceMs: number;
 }
 
-/** Holds the routed configuration in force on one instance; its revision only rises. */
+/** Holds the routed configuration in force on one instance; its revision never decreases. */
 export class RouteHolder {
   private readonly protocol: RequestProtocol;
   private readonly logger: EventLogger;
@@ -55,7 +55,7 @@
     this.listeners.push(listener);
   }
 
-  /** Puts a configuration in force if it is whole and newer than the one in force. */
+  /** Puts a configuration in force if it is valid and newer than the one in force. */
   offerText(text: string, source: string): void {
     if (text === this.text || text === this.unreadableText) return;
     const table = this.parseTable(text, source);
--- a/packages/gateway/src/upstream-pool.test.ts
+++ b/packages/gateway/src/upstream-pool.test.ts
@@ -24,7 +24,7 @@
   };
 }
 
-test('an upstream that was slow counts as usual again although it gets no work', () => {
+test('the slowness of an upstream decays even while it gets no work', () => {
   let nowMs = 0;
   const pool = new UpstreamPool({
     getNow: () => nowMs,
@@ -46,10 +46,10 @@
 
 const WARM_UP = {durationMs: 3000, requestsPerSecond: 9};
 const INSTANCES = 40;
-/** Requests a second of every instance; a cold upstream bears 9 in all. */
+/** Requests per second of every instance; a cold upstream tolerates 9 in all. */
 const REQUESTS_PER_SECOND = 5;
 
-test('instances without a coordinator together send a cold upstream no more than it bears', () => {
+test('instances without a coordinator together do not exceed the warm-up rate of a cold upstream', () => {
   let nowMs = 0;
   const sentAtMs: number[] = [];
   const random = createSeededRandom(7);
--- a/packages/gateway/src/upstream-pool.ts
+++ b/packages/gateway/src/upstream-pool.ts
@@ -27,20 +27,17 @@
 import type {BackOffTable} from '@hollowstack/upstream-signals';
 import type {UpstreamCandidate} from './upstream-choice.ts';
 
-/** Weight of the newest request in the mean of a service. */
+/** Weight of the newest request in the moving mean of a service. */
 const MEAN_WEIGHT = 0.05;
-/**
- * Bound of one sample of slowness, so that one odd answer does not rule an
- * upstream out for long.
- */
+/** Upper bound of one slowness sample, so that one outlier does not exclude an upstream. */
 const MAX_SLOWNESS = 8;
 /** Weight of the newest request in the slowness of its upstream. */
 const SLOWNESS_WEIGHT = 0.15;
 
 /**
- * Part of what a cold upstream bears that instances may send of their own accord;
- * beside it the coordinator sends the whole. Both together stay below the 1.5
- * times of it that a cold upstream bears for a second.
+ * Share of a cold upstream's warm-up rate that all instances together may send without
+ * the coordinator, which may send the full rate as well. Both together stay below 1.5
+ * times the rate, which a cold upstream tolerates for a second.
  */
 const UNCOORDINATED_SHARE = 0.4;
 
@@ -51,7 +48,7 @@
   readonly random: () => number;
   /** Returns how many instances share the upstreams. */
   readonly getInstanceCount: () => number;
-  /** The upstreams that asked this instance for no work. */
+  /** The back-offs that upstreams asked of this instance. */
   readonly backOffs: Pick<
     BackOffTable,
     'maySend' | 'acquireSend' | 'getWaitMs'
@@ -63,11 +60,11 @@
   health: HealthState;
   load: LoadState;
   readonly slowness: Slowness;
-  /** Spaces what this instance sends while the upstream is cold. */
+  /** Paces this instance's sends while the upstream is cold. */
   coldPacer: SendPacer | undefined;
 }
 
-/** The upstreams of all services with what this instance has learnt of them. */
+/** The upstreams of all services, with their health, load and latency as seen here. */
 export class UpstreamPool {
   private readonly parts: UpstreamPoolParts;
   private warmUps = new Map<string, WarmUp>();
@@ -78,7 +75,7 @@
     this.parts = parts;
   }
 
-  /** Takes the services of a newer configuration. */
+  /** Applies the warm-up settings of a newer configuration. */
   setConfiguration(table: RouteTable): void {
     this.warmUps = new Map(
       table.configuration.services.flatMap(({name, warmUp}) =>
@@ -87,7 +84,7 @@
     );
   }
 
-  /** Takes the upstreams that are registered now. */
+  /** Replaces the upstreams; those already known keep their health and load. */
   setUpstreams(records: readonly RegisteredUpstream[]): void {
     const listed = new Set(records.map(({id}) => id));
     for (const id of this.upstreams.keys()) {
@@ -113,8 +110,8 @@
   }
 
   /**
-   * Returns whether new work may go to an upstream now: it is registered, not leaving,
-   * not evacuated, and has not asked this instance for none.
+   * Returns whether new work may go to an upstream now: it is registered, neither leaving
+   * nor evacuated, and no back-off that it asked for prevents it.
    */
   maySend(id: string): boolean {
     const upstream = this.upstreams.get(id);
@@ -122,33 +119,33 @@
     return this.parts.backOffs.maySend(id);
   }
 
-  /** As maySend, at the very send, which counts from then on. */
+  /** Like `maySend`, but also counts the send; called immediately before it. */
   acquireSend(id: string): boolean {
     return this.maySend(id) && this.parts.backOffs.acquireSend(id);
   }
 
-  /** Returns milliseconds for which an upstream still wants no work. */
+  /** Returns the remaining milliseconds of an upstream's back-off. */
   getWaitMs(id: string): number {
     return this.parts.backOffs.getWaitMs(id);
   }
 
-  /** Returns why no upstream of a service can take work; undefined where one can. */
+  /** Returns why no upstream of a service can take work; undefined if one can. */
   findShortage(service: string): Unavailability | undefined {
     const records = this.listRecords(service);
     return findUnavailability(service, records, id => this.getWaitMs(id));
   }
 
-  /** Lists the upstreams of a service. */
+  /** Lists the ids of a service's upstreams. */
   listIds(service: string): string[] {
     return this.listRecords(service).map(({id}) => id);
   }
 
-  /** Lists the upstreams of a service to which this instance may send nothing now. */
+  /** Lists the ids of a service's upstreams to which this instance may send nothing now. */
   listBlocked(service: string): string[] {
     return this.listIds(service).filter(id => !this.maySend(id));
   }
 
-  /** Lists the upstreams of a service that new work may go to. */
+  /** Lists the upstreams of a service that may get new work, without the excluded ids. */
   listCandidates(
     service: string,
     excluded: ReadonlySet<string>,
@@ -174,7 +171,7 @@
     return candidates;
   }
 
-  /** Lists the upstreams of a service at which this instance has a request in progress. */
+  /** Lists the ids of a service's upstreams with a request of this instance in flight. */
   listBusy(service: string): string[] {
     return [...this.upstreams.values()]
       .filter(
@@ -183,7 +180,7 @@
       .map(({record}) => record.id);
   }
 
-  /** Notes that this instance chose an upstream of its own accord. */
+  /** Counts a choice without the coordinator towards the send rate of a cold upstream. */
   recordUncoordinatedChoice(id: string): void {
     const nowMs = this.parts.getNow();
     const upstream = this.upstreams.get(id);
@@ -192,9 +189,8 @@
     upstream?.coldPacer?.recordSend(nowMs, perSecond);
   }
 
-  // The first send waits for a part of the pause between two, drawn at random:
-  // instances that start or lose their coordinator together would else all send
-  // at once.
+  // The first send waits for a random part of the interval between two sends. Otherwise
+  // instances that start or lose their coordinator together would all send at once.
   private hasSendQuota(upstream: PooledUpstream, nowMs: number): boolean {
     const perSecond = this.getOwnRate(upstream.record, nowMs);
     if (perSecond === undefined) {
@@ -206,8 +202,8 @@
     return upstream.coldPacer.isDue(nowMs);
   }
 
-  // Requests a second that this instance may send to a cold upstream; undefined
-  // for a warm one.
+  // Requests per second that this instance may send to a cold upstream without the
+  // coordinator; undefined for a warm one.
   private getOwnRate(
     record: RegisteredUpstream,
     nowMs: number,
@@ -226,8 +222,8 @@
   }
 
   endRequest(id: string): void {
-    // A trial that neither succeeded nor failed, its caller being gone, leaves
-    // the next one free.
+    // A trial request whose caller disconnected neither succeeded nor failed; the next
+    // request may be the trial.
     this.applyChange(id, ({health, load}) => ({
       health: health.state === 'trial' ? {...health, state: 'out'} : health,
       load: recordCompletion(load),
@@ -235,9 +231,9 @@
   }
 
   /**
-   * Notes that an upstream served a request.
+   * Records that an upstream served a request.
    *
-   * @param tookMs Milliseconds to its first bytes.
+   * @param tookMs Milliseconds to the first bytes of the response.
    */
   recordSuccess(id: string, tookMs: number): void {
     const upstream = this.upstreams.get(id);
@@ -246,14 +242,14 @@
     const nowMs = this.parts.getNow();
     const mean = this.meanMs.get(service) ?? tookMs;
     const slowness = Math.min(MAX_SLOWNESS, tookMs / Math.max(1, mean));
-    // The mean follows what a usual upstream takes, not the slow one's.
+    // Outliers are capped, so that the mean follows typical upstreams and not a slow one.
     const sample = Math.min(tookMs, 3 * mean);
     this.meanMs.set(service, mean + (sample - mean) * MEAN_WEIGHT);
     upstream.slowness.recordSample(slowness, nowMs);
     upstream.health = recordSuccess(upstream.health, nowMs);
   }
 
-  /** Returns milliseconds to the first bytes of a usual request of a service. */
+  /** Returns the mean milliseconds to first bytes of a service; undefined before a success. */
   getMeanMs(service: string): number | undefined {
     return this.meanMs.get(service);
   }
--- a/packages/gateway/src/upstream-registry.test.ts
+++ b/packages/gateway/src/upstream-registry.test.ts
@@ -58,7 +58,7 @@
   return {clock, logger, registry};
 }
 
-test('an entry that lapsed in an outage stays for its grace, one that was leaving does not', async () => {
+test('an entry that expired in an outage stays for the grace period unless it was leaving', async () => {
   const {clock, registry} = createRegistry();
   registry.beginGrace();
   registry.replaceEntries([], 2, 'store');
@@ -72,7 +72,7 @@
   assert.deepEqual(registry.createCopy()?.entries, []);
 });
 
-test('nothing is left to happen after a stop', async () => {
+test('no timer runs after a stop', async () => {
   const {clock, logger, registry} = createRegistry();
   registry.beginGrace();
   registry.replaceEntries([], 2, 'store');
@@ -82,7 +82,7 @@
   assert.equal(logger.names.length, countBefore);
 });
 
-test('an entry that a peer no longer knows is gone, whatever is left of the grace', () => {
+test('a missing entry that a peer no longer has is removed before the grace period ends', () => {
   const {registry} = createRegistry();
   let missingCallCount = 0;
   registry.addMissingListener(() => (missingCallCount += 1));
@@ -96,7 +96,7 @@
   assert.equal(registry.isInGrace(), false);
 });
 
-test('the copy of a peer ends the grace, an older one changes nothing', () => {
+test('the copy of a peer ends the grace period, while an older copy changes nothing', () => {
   const {registry} = createRegistry();
   registry.beginGrace();
   registry.replaceEntries([{key: 'b', value: 'leaving'}], 5, 'store');
@@ -112,7 +112,7 @@
   );
 });
 
-test('changes that one transaction made together are all taken', () => {
+test('all changes of one transaction are applied', () => {
   const {registry} = createRegistry();
   registry.applyEvents([
     {type: 'put', key: 'a', value: 'leaving', modRevision: 2},
@@ -124,7 +124,7 @@
   );
 });
 
-test('an entry that cannot be read is logged once and names no upstream; the others hold', () => {
+test('an unreadable entry is logged once and names no upstream, while the others stay', () => {
   const {logger, registry} = createRegistry();
   const entries = [
     {key: 'a', value: 'unreadable'},
@@ -144,7 +144,7 @@
   assert.equal(registry.listUpstreams().length, 2);
 });
 
-test('an upstream that starts again under its id is another one, also after it was leaving', () => {
+test('a restarted upstream is a new upstream under its key, even after it was leaving', () => {
   const {logger, registry} = createRegistry();
   const listReady = () =>
     registry
@@ -165,7 +165,7 @@
   assert.notEqual(registry.getDigest(), digest);
 });
 
-test('an upstream that said itself that it leaves takes no work again in this life, whatever the store or a peer says', () => {
+test('an upstream that reported that it leaves gets no work in this incarnation, whatever the store or a peer reports', () => {
   const {logger, registry} = createRegistry();
   let reportCount = 0;
   registry.addLeavingReportListener(() => (reportCount += 1));
@@ -185,13 +185,13 @@
   assert.equal(reportCount, 1);
   assert.deepEqual(registry.listSelfReportedLeaving(), ['a@1']);
   const lines = logger.names.filter(name => name === 'upstream.leaving');
-  assert.equal(lines.length, 2, 'one for b of the registry, one for a');
+  assert.equal(lines.length, 2, 'one line for b, one for a');
 
   registry.replaceEntries(entries, 3, 'store');
   registry.applyEvents([{type: 'put', ...entries[0], modRevision: 4}]);
   registry.applyCopy({storeRevision: 4, entries}, 'peer 10.0.0.2:1');
   assert.deepEqual(listReady(), []);
-  // Peers that have not heard it know the same registrations.
+  // Peers without the report have the same registrations.
   assert.equal(registry.getDigest(), digest);
 
   registry.applyEvents([
@@ -200,7 +200,7 @@
   assert.deepEqual(
     registry.listSelfReportedLeaving(),
     [],
-    'the store says it now',
+    'the registration marks it now',
   );
   registry.applyEvents([
     {type: 'put', key: 'a', value: 'ready@2', modRevision: 6},
@@ -208,7 +208,7 @@
   assert.deepEqual(listReady(), ['a@2']);
 });
 
-test('an upstream that is registered only after it said that it leaves takes no work', () => {
+test('an upstream that registers after it reported that it leaves gets no work', () => {
   const {registry} = createRegistry();
   registry.recordLeaving('c', {source: 'answer'});
   registry.applyEvents([
@@ -218,7 +218,7 @@
   assert.equal(late?.isLeaving, true);
 });
 
-test('a whole reading logs one line, however many upstreams it brings', () => {
+test('a full read logs one line, however many upstreams it adds', () => {
   const {logger, registry} = createRegistry();
   logger.names.length = 0;
   const entries = Array.from({length: 140}, (_, index) => ({
@@ -230,7 +230,7 @@
   assert.deepEqual(lines, ['upstream.read']);
 });
 
-test('a new life that said that it leaves before it was heard of gets no work, one that did not does', async () => {
+test('a new incarnation gets no work if and only if the report of leaving came after its start', async () => {
   for (const isLater of [true, false]) {
     const {clock, registry} = createRegistry();
     const restarts: string[] = [];
@@ -282,7 +282,7 @@
     .map(({id}) => id);
 }
 
-test('a copy made while changes may be missing takes nothing from a peer that knows them', () => {
+test('a copy made while changes may be missing removes nothing from a peer that has them', () => {
   const {registry} = createRegistry();
   const peer = createRegistry().registry;
   const ready = (key: string) => ({
@@ -306,7 +306,7 @@
   );
 });
 
-test('an instance is not loaded by a change before its first reading', () => {
+test('a change before the first full read does not make the registry loaded', () => {
   const clock = new ManualClock();
   const logger = new RecordingLogger();
   const registry = new UpstreamRegistry(
@@ -341,7 +341,7 @@
   assert.deepEqual(listActiveIds(registry), []);
 });
 
-test('a removed upstream in a restored store is listed after a newer write or once its entry has stayed long enough', async () => {
+test('a removed upstream in a restored store is listed after a newer write or once its entry has outlived the withholding period', async () => {
   for (const isRewritten of [true, false]) {
     const {clock, registry} = createRegistry();
     registry.applyEvents([
@@ -364,7 +364,7 @@
   }
 });
 
-test('a restored store does not bring back an earlier life of an upstream', () => {
+test('a restored store does not bring back an earlier incarnation of an upstream', () => {
   const {registry} = createRegistry();
   registry.applyEvents([
     {type: 'put', key: 'c', value: 'ready@2#200', modRevision: 2},
--- a/packages/gateway/src/upstream-registry.ts
+++ b/packages/gateway/src/upstream-registry.ts
@@ -16,57 +16,57 @@
 import {LeavingIds} from './leaving-ids.ts';
 import type {RequestProtocol} from './request-protocol.ts';
 
-/** What an instance goes by when it chooses an upstream, for the log. */
+/** Age and origin of the registrations that an instance routes by, for the log. */
 export interface RegistryState {
-  /** Store revision of the newest change that is known. */
+  /** Store revision of the newest known change. */
   readonly storeRevision: number;
-  /** Milliseconds since the registrations were last heard of. */
+  /** Milliseconds since the last update of the registrations. */
   readonly ageMs: number;
-  /** Who told of them then: `watch`, `store` or a peer. */
+  /** Origin of that update: `watch`, `store` or a peer. */
   readonly source: string;
 }
 
-/** Where a change of an upstream was heard of. */
+/** Where the report of a change of an upstream came from. */
 export interface ReportOrigin {
-  /** `answer` for one of its own, `watch` or `store` for its registration, or a peer. */
+  /** `answer` of the upstream itself, `watch` or `store` for its registration, or a peer. */
   readonly source: string;
-  /** Request whose answer said it; undefined for other sources. */
+  /** Request whose answer carried the report; undefined for other sources. */
   readonly requestId?: string;
 }
 
-/** Two lives of an upstream under one registered id. */
+/** A new incarnation of an upstream under the same registry key. */
 export interface UpstreamRestart {
   readonly previousId: string;
   readonly newId: string;
-  /** When the later one began, in Unix milliseconds; infinite where it tells none. */
+  /** Start of the new incarnation in Unix milliseconds; infinite if its entry has none. */
   readonly startedAtMs: number;
 }
 
 interface Entry {
   readonly text: string;
-  /** Whether the registration itself says that the upstream leaves. */
+  /** Whether the registration itself marks the upstream as leaving. */
   readonly isRegisteredLeaving: boolean;
-  /** As it registered itself, without what its failure domain adds. */
+  /** The upstream without the evacuation state of its failure domain. */
   readonly upstream: RegisteredUpstream;
 }
 
 /**
- * Milliseconds after an outage in which registrations that ran out during it
- * may come back; work still goes to their upstreams until then.
+ * Grace period after a store outage, in which registrations that expired during
+ * the outage may be renewed. Their upstreams still get work until it ends.
  */
 const EXPIRY_GRACE_MS = 2200;
 /**
- * Milliseconds after which a withheld entry is accepted if the store still has it. Longer
- * than the time in which the entry of an upstream that is gone expires.
+ * Time after which a withheld entry is accepted if the store still has it. Longer than
+ * the time in which the entry of a stopped upstream expires.
  */
 const WITHHOLD_MS = 5000;
 /**
- * Ids told to a peer of upstreams whose leaving only answers told of; 8 KB of a
- * message. More at once means that the store's word is on its way as well.
+ * Maximum number of self-reported leaving upstreams in a message to a peer, about 8 KB.
+ * If more leave at once, the store's watch reports the others.
  */
 const MAX_SELF_REPORTED_IDS = 256;
 
-/** The upstreams as they stand registered in the store, at a store revision. */
+/** The upstreams registered in the store, at a store revision. */
 export class UpstreamRegistry {
   private readonly logger: EventLogger;
   private readonly entries = new Map<string, Entry>();
@@ -80,7 +80,7 @@
     EvacuatedDomains,
     'isEvacuated' | 'getEndedAtMs'
   >;
-  /** Entries that were not there after an outage, while they may come back. */
+  /** Keys that the store lacked after an outage, until the grace period ends. */
   private readonly missing = new Set<string>();
   private graceTimer: Timer | undefined;
   private readonly removedEntries = new RemovedEntries();
@@ -97,7 +97,7 @@
   private readonly changes = new ChangeRevisions();
   private updatedAtMs = 0;
   private updateSource = '';
-  /** The digest of the entries; undefined once they have changed. */
+  /** Cached digest of the entries; undefined after a change. */
   private digest: string | undefined;
 
   constructor(
@@ -112,17 +112,17 @@
     this.evacuated = evacuated;
   }
 
-  /** Returns the store revision up to which every change is known. */
+  /** Returns the store revision up to which every change is known; 0 before a full read. */
   getStoreRevision(): number {
     return this.revision.getComplete();
   }
 
-  /** Notes that changes may have been missed, which the next full read brings. */
+  /** Records that changes may have been missed, until the next full read. */
   recordMissedChanges(): void {
     this.revision.beginGap();
   }
 
-  /** Returns how old this instance's knowledge is and where it is from. */
+  /** Returns the age and origin of the registrations. */
   getState(): RegistryState {
     return {
       storeRevision: this.revision.getNewest(),
@@ -131,7 +131,7 @@
     };
   }
 
-  /** Returns whether the registrations have been read, from the store or a peer. */
+  /** Returns whether all registrations have been received, from the store or a peer. */
   isLoaded(): boolean {
     return this.revision.getComplete() > 0;
   }
@@ -151,7 +151,7 @@
     this.listeners.push(listener);
   }
 
-  /** Tells the listeners that failure domains were evacuated or taken back. */
+  /** Logs evacuations of failure domains and their ends, and notifies the listeners. */
   applyEvacuations(change: EvacuationChange): void {
     const {source, storeRevision} = change;
     const logDomain = (name: EventName, failureDomain: string) => {
@@ -164,7 +164,7 @@
     this.callListeners();
   }
 
-  /** Notes that the store is back after an outage, in which entries may have run out. */
+  /** Begins the grace period after a store outage, in which entries may have expired. */
   beginGrace(): void {
     this.graceTimer?.cancel();
     this.graceTimer = this.clock.schedule(EXPIRY_GRACE_MS, () =>
@@ -176,15 +176,15 @@
     });
   }
 
-  /** Adds a function that is called when entries are missing after an outage. */
+  /** Adds a function that is called on each change while entries are missing after an outage. */
   addMissingListener(listener: () => void): void {
     this.missingListeners.push(listener);
   }
 
   /**
-   * Notes that an upstream said of itself that it leaves. That holds for this life of
-   * it, whatever the store or a peer's copy still says: the store may be away for long
-   * after the upstream has begun to leave.
+   * Records that an upstream itself reported that it leaves. This holds for its current
+   * incarnation and overrides the store and copies of peers, because the store may be
+   * unavailable long after the upstream has begun to leave.
    */
   recordLeaving(id: string, origin: ReportOrigin): void {
     if (this.leavingIds.has(id)) return;
@@ -200,23 +200,23 @@
     for (const listener of this.leavingReportListeners) listener();
   }
 
-  /** Adds a function that is called when an upstream has started again under its id. */
+  /** Adds a function that is called when an upstream has restarted under its registry key. */
   addRestartListener(listener: (restart: UpstreamRestart) => void): void {
     this.restartListeners.push(listener);
   }
 
-  /** Adds a function that is called when an upstream's own word is news. */
+  /** Adds a function that is called when an upstream first reports that it leaves. */
   addLeavingReportListener(listener: () => void): void {
     this.leavingReportListeners.push(listener);
   }
 
-  /** Counts the upstreams that leave, by whomever it was told. */
+  /** Counts the leaving upstreams, registered or self-reported. */
   countLeaving(): number {
     const entries = [...this.entries.values()];
     return entries.filter(({upstream}) => upstream.isLeaving).length;
   }
 
-  /** Lists upstreams that leave by their own word, and not yet by their registration. */
+  /** Lists the ids of upstreams that reported leaving but are not yet registered as leaving. */
   listSelfReportedLeaving(): string[] {
     const ids = [...this.entries.values()]
       .filter(({isRegisteredLeaving}) => !isRegisteredLeaving)
@@ -225,15 +225,15 @@
     return ids.slice(-MAX_SELF_REPORTED_IDS);
   }
 
-  /** Returns whether entries that are missing may still come back. */
+  /** Returns whether the grace period after a store outage is running. */
   isInGrace(): boolean {
     return this.graceTimer !== undefined;
   }
 
   /**
-   * Ends the grace of entries that are missing: a peer which never lost the store,
-   * or is past its own grace, no longer knows them. An instance that alone was
-   * cut off from the store would else send work to an upstream that is gone for
+   * Ends the grace period if entries are missing, because a peer that never lost the
+   * store, or is past its own grace period, no longer has them. Otherwise an instance
+   * that was the only one cut off from the store would send work to a stopped upstream for
    * longer than changes may take.
    */
   endGraceOfMissing(source: string): void {
@@ -242,7 +242,7 @@
     this.endGrace(source);
   }
 
-  /** Ends the grace, so that nothing is left to keep a process that stops. */
+  /** Cancels the timers, which would otherwise keep a stopping process alive. */
   stop(): void {
     this.graceTimer?.cancel();
     this.graceTimer = undefined;
@@ -251,7 +251,7 @@
   }
 
   /**
-   * Replaces the entries with the result of a full read, removing those it does not
+   * Replaces the entries with the result of a full read and removes those it does not
    * list. Keys with a newer watch event are left unchanged.
    */
   replaceEntries(
@@ -266,9 +266,10 @@
   }
 
   /**
-   * Takes the copy of a peer, which sends none while it is in its own grace.
+   * Applies a peer's copy of the registrations. A peer sends none during its own grace
+   * period.
    *
-   * @returns Whether it was taken; an older one than what is known is passed over.
+   * @returns False if the copy is older than the known registrations and was ignored.
    */
   applyCopy({entries, storeRevision}: StoreCopy, source: string): boolean {
     const knownRevision = Math.max(
@@ -307,13 +308,13 @@
     this.callListeners();
   }
 
-  /** Takes the changes that the watch tells of. */
+  /** Applies changes that the watch reports. */
   applyEvents(events: readonly WatchEvent[]): void {
     this.recordUpdate('watch');
     const readRevision = this.revision.getNewest();
     for (const event of events) {
-      // A watch that began before the last whole reading repeats older changes.
-      // Those of one transaction share a revision, and all of them count.
+      // A watch that began before the last full read repeats older changes. Changes of
+      // one transaction share a revision, so the bound is fixed before the loop.
       if (event.modRevision <= readRevision) continue;
       this.changes.recordChange(event);
       this.recordStoreEra(event.modRevision);
@@ -325,8 +326,8 @@
   }
 
   /**
-   * Returns all entries, for peers that cannot read the store; undefined while
-   * some that are not there may come back.
+   * Returns all entries, for peers that cannot read the store; undefined during the grace
+   * period, in which missing entries may be renewed.
    */
   createCopy(): StoreCopy | undefined {
     if (this.isInGrace()) return undefined;
@@ -337,7 +338,7 @@
     return {storeRevision: this.getStoreRevision(), entries};
   }
 
-  /** Returns a text that is equal where two instances know the same upstreams. */
+  /** Returns a digest that is equal on instances with the same registrations. */
   getDigest(): string {
     this.digest ??= this.computeDigest();
     return this.digest;
@@ -347,7 +348,7 @@
     const text = [...this.entries]
       .filter(([key]) => !this.missing.has(key))
       .map(([, {upstream, isRegisteredLeaving}]) =>
-        // What only answers told of is no reason to exchange whole copies.
+        // Self-reported leaving is excluded: it is no reason to exchange whole copies.
         isRegisteredLeaving ? `${upstream.id}!` : upstream.id,
       )
       .sort()
@@ -355,8 +356,8 @@
     return createHash('sha1').update(text).digest('base64');
   }
 
-  // One line for all that a reading brings: a line each was 12,460 of them at the
-  // start of 89 instances before 140 upstreams.
+  // Logs one line for all new entries of a full read. One line per entry came to 12,460
+  // lines at the start of 89 instances with 140 upstreams.
   private logFullRead(keysBefore: ReadonlySet<string>, source: string): void {
     const counts = new Map<string, number>();
     for (const [key, {upstream}] of this.entries) {
@@ -390,19 +391,19 @@
     this.missing.delete(key);
     this.removedEntries.removeEntry(key);
     if (!parsed) {
-      // It names no upstream, whatever it named before; the next one under its key may.
+      // An unreadable entry replaces the upstream it named before.
       this.entries.delete(key);
       return;
     }
-    // An upstream that was leaving never comes back under the same id.
+    // An upstream that was leaving never takes work again under the same id.
     const known = this.entries.get(key);
     const isRestart = known !== undefined && known.upstream.id !== parsed.id;
     if (isRestart) this.recordRestart(known.upstream, parsed);
     const isLeaving = parsed.isLeaving || this.leavingIds.has(parsed.id);
-    // Nothing that was known of an earlier life holds for this one.
+    // The state of an earlier incarnation does not hold for this one.
     const before = isRestart ? undefined : known?.upstream;
-    // A reading that repeats an entry says nothing new of its warm-up; the age of
-    // one that is heard of for the first time is not known, so it counts from now.
+    // An unchanged entry keeps its warm-up end. The age of a new or changed entry is
+    // unknown, so its warm-up counts from now.
     const coldUntilMs =
       known?.text === text
         ? before?.coldUntilMs
@@ -422,7 +423,7 @@
   }
 
   // A restored store may hold the entry of an upstream that has since been removed, or of
-  // a life earlier than the known one.
+  // an incarnation earlier than the known one.
   private isOutdated(
     key: string,
     parsed: RegisteredUpstream,
@@ -438,7 +439,7 @@
     );
   }
 
-  // Entries of upstreams that are gone expire in the meantime, because nothing renews them.
+  // Entries of stopped upstreams expire in the meantime, because nothing renews them.
   private scheduleAcceptance(): void {
     this.withheldTimer?.cancel();
     this.withheldTimer = this.clock.schedule(WITHHOLD_MS, () => {
@@ -452,8 +453,8 @@
     });
   }
 
-  // The new life may have answered before its registration was heard of here. What it said
-  // of itself then was noted of the life that was known.
+  // The new incarnation may have reported that it leaves before its registration arrived
+  // here. That report was recorded under the id of the previous incarnation.
   private recordRestart(
     before: RegisteredUpstream,
     {id, startedAtMs = Infinity}: RegisteredUpstream,
