--- a/packages/gateway/src/coordinator-search.test.ts
+++ b/packages/gateway/src/coordinator-search.test.ts
@@ -18,16 +18,16 @@
 } from '@hollowstack/store';
 import {CoordinatorSearch} from './coordinator-search.ts';
 
-/** Instances of the fleet under test, and how many of them are strong. */
+/** Instances of the fleet under test; the strong ones have more cores. */
 const FLEET_SIZE = 200;
 const STRONG_COUNT = 15;
-/** Milliseconds within which the processes of a fleet start. */
+/** Time within which all processes of the fleet start. */
 const START_SPREAD_MS = 300;
 const ROUND_TRIP_MS = 4;
-/** Milliseconds after the first start in which all must agree. */
+/** Time after the first start within which all instances must agree. */
 const AGREEMENT_MS = START_SPREAD_MS + 300;
 
-/** A store that is away but for the list that every instance read. */
+/** A store that serves only the member list; every other call fails. */
 class ListOnlyStore extends KeyValueStore {
   private readonly records: readonly PeerRecord[];
 
@@ -47,11 +47,11 @@
   }
 
   async runTransaction(): Promise<TransactionResult> {
-    throw new Error('the store is away');
+    throw new Error('the store is unavailable');
   }
 
   async grantLease(): Promise<Lease> {
-    throw new Error('the store is away');
+    throw new Error('the store is unavailable');
   }
 
   async renewLease(): Promise<boolean> {
@@ -65,7 +65,7 @@
 
 interface Fleet {
   readonly clock: ManualClock;
-  /** The live instances by id. */
+  /** Members of the instances that restart, by instance id. */
   readonly members: ReadonlyMap<string, Membership>;
   readonly searches: readonly CoordinatorSearch[];
   readonly strongIds: readonly string[];
@@ -79,7 +79,7 @@
   };
 }
 
-// All instances were lost and start again; `deadShare` of them do not.
+// Restarts a fleet that lost all its instances; a share of `deadShare` stays down.
 function startFleet(seed: number, deadShare: number): Fleet {
   const random = createRandom(seed);
   const clock = new ManualClock();
@@ -137,7 +137,7 @@
   [4, 0.5],
   [5, 0.8],
 ] as const) {
-  test(`after the loss of all, instances agree within 0.3 s of their start (seed ${seed}, ${deadShare} stay away)`, async () => {
+  test(`after the loss of all instances, the restarted ones agree on a coordinator within 0.3 s of their start (seed ${seed}, ${deadShare} stay down)`, async () => {
     const {clock, members, searches, strongIds} = startFleet(seed, deadShare);
     await clock.advance(AGREEMENT_MS);
     const chosen = new Set(
--- a/packages/gateway/src/coordinator-search.ts
+++ b/packages/gateway/src/coordinator-search.ts
@@ -15,29 +15,28 @@
 }
 
 /**
- * Milliseconds for which an instance that has just started asks often: others
- * that started with it are up within a second or two.
+ * Time after its start in which an instance asks often, since others that start with it
+ * are up within a second or two.
  */
 const START_PHASE_MS = 5000;
-/** Milliseconds between rounds in that time; some forty round trips. */
+/** Interval between rounds in the start phase; about forty round trips. */
 const START_ROUND_MS = 200;
-/** Milliseconds between rounds afterwards. */
+/** Interval between rounds after the start phase. */
 const ROUND_MS = 1000;
 /**
- * Share of a round for which a peer that did not answer is left alone: it is
- * asked in the next round, and not by each change of the list in between.
+ * Share of a round for which a peer that did not answer is not asked again: it is asked
+ * in the next round, but not on each change of the member list in between.
  */
 const RETRY_DELAY_SHARE = 0.5;
-/** Milliseconds for an answer; room for a process that has just started. */
+/** Time-out of an answer, which allows for a process that has just started. */
 const ASK_TIMEOUT_MS = 400;
-/** Peers asked in a round; the first by rank of them that answers decides. */
+/** Maximum number of peers asked in a round; the highest-ranked one that answers is chosen. */
 const MAX_ASKED = 3;
 
 /**
- * Asks the peers that would coordinate, if they live, whether they do. A list of
- * instances outlives them, so that nobody is taken for the coordinator before
- * it gave a sign of life; after the loss of all instances this is what makes
- * them agree again.
+ * Pings the peers that would be coordinator if they are alive. The member list may contain
+ * instances that have crashed, so no peer becomes coordinator before it has answered. After
+ * the loss of all instances this makes the restarted ones agree on a coordinator.
  */
 export class CoordinatorSearch {
   private readonly parts: CoordinatorSearchParts;
@@ -54,7 +53,7 @@
     });
   }
 
-  /** Asks in rounds until stopped. */
+  /** Asks in rounds until `stop` is called. */
   start(): Promise<void> {
     this.startedAtMs = this.parts.clock.getNow();
     this.parts.membership.addListener(() => {
@@ -65,8 +64,8 @@
   }
 
   /**
-   * Returns whether the list of instances is known and nobody on it is being asked
-   * who would coordinate in place of the one that is chosen now.
+   * Returns whether the member list is known and no answer is pending from a peer that
+   * would replace the current coordinator.
    */
   isSettled(): boolean {
     return this.isListKnown && this.askedIds.size === 0;
@@ -99,7 +98,7 @@
       return;
     }
     membership.recordUnreachable(id);
-    // A connection that does not stand would hold up the next question as well.
+    // A connection that cannot be established would delay the next ping as well.
     if (!reply) link.closePeer(address);
   }
 
--- a/packages/gateway/src/gossip-exchange.test.ts
+++ b/packages/gateway/src/gossip-exchange.test.ts
@@ -28,7 +28,7 @@
   }),
 } as unknown as RequestProtocol;
 
-/** An exchange with one peer, in a grace in which upstream `b` is missing. */
+/** Creates an exchange with one peer, in a grace period in which upstream `b` is missing. */
 function startInGrace(t: TestContext, answer: Partial<CopyReply>) {
   const clock = new ManualClock();
   const logger = new SilentEventLogger();
@@ -81,20 +81,20 @@
   return {clock, exchange, listIds};
 }
 
-test('a peer that never lost the store ends the grace of what it no longer knows', async t => {
+test('a peer that never lost the store ends the grace period of entries that it lacks', async t => {
   const {exchange, listIds} = startInGrace(t, {});
   assert.deepEqual(listIds(), ['a', 'b']);
   await exchange.runRound();
   assert.deepEqual(listIds(), ['a']);
 });
 
-test('a peer in a grace of its own ends no grace', async t => {
+test('a peer in its own grace period does not end the grace period', async t => {
   const {exchange, listIds} = startInGrace(t, {isProvisional: true});
   await exchange.runRound();
   assert.deepEqual(listIds(), ['a', 'b']);
 });
 
-test('a peer that knows other upstreams ends no grace', async t => {
+test('a peer with other upstreams does not end the grace period', async t => {
   const {exchange, listIds} = startInGrace(t, {isDigestOther: true});
   await exchange.runRound();
   assert.deepEqual(listIds(), ['a', 'b']);
--- a/packages/gateway/src/gossip-exchange.ts
+++ b/packages/gateway/src/gossip-exchange.ts
@@ -19,47 +19,44 @@
 import {PendingPeerRevision} from './pending-peer-revision.ts';
 import {GossipState, type GossipStateParts} from './gossip-state.ts';
 
-/** How far a peer is, as far as it tells. */
+/** The revisions that a peer reports, and how its upstreams compare. */
 type PeerRevisions = Pick<
   Extract<PeerReply, {type: 'copy'}>,
   'configurationRevision' | 'storeRevision' | 'isDigestOther' | 'isProvisional'
 >;
 
-/** What the exchange works with. */
+/** Dependencies of GossipExchange. */
 export interface GossipExchangeParts extends GossipStateParts {
   readonly link: PeerLink;
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly random: () => number;
-  /** Addresses to ask where no peer is known yet. */
+  /** Addresses to ask while no peer is known. */
   readonly seeds: readonly string[];
-  /** Milliseconds in which a change must be in force here. */
+  /** Milliseconds within which a change must be in force on this instance. */
   readonly followWithinMs: number;
 }
 
-/**
- * Part of the time in which changes must be in force that lies between rounds;
- * two of them fit in it, and the question that follows.
- */
+/** Interval between rounds as a share of `followWithinMs`; two rounds and a request fit in it. */
 const ROUND_SHARE = 0.35;
-/** Milliseconds for an answer without a copy; some hundred round trips. */
+/** Time-out of a reply without copies; about a hundred round trips. */
 const REPLY_TIMEOUT_MS = 700;
-/** A whole copy takes its time on a thin link. */
+/** Time-out of a reply with copies, which are slow over a link of low bandwidth. */
 const COPY_TIMEOUT_MS = 2000;
 /**
- * Part of the time in which changes must be in force after which a second peer
- * is asked where the first has not answered: its stream may have fallen silent.
+ * Share of `followWithinMs` after which a second peer is asked if the first has not
+ * answered, since its stream may have become unresponsive.
  */
 const STANDBY_SHARE = 0.15;
 /**
- * Part of it for which the store's watch is given its time before a peer sends a
- * copy. Two rounds at the most, the standby and this patience leave a tenth for
- * the copy itself.
+ * Share of `followWithinMs` for which the store's watch may bring a change before a copy
+ * is requested from a peer. At most two rounds, the wait for the standby and this delay
+ * leave a tenth for the copy itself.
  */
 const COPY_DELAY_SHARE = 0.2;
 /**
- * Milliseconds after an upstream's own word that it leaves before peers are told. A
- * store that works tells all of them within 2 to 12 ms (27 changes at nine gateways).
+ * Delay before peers are notified of an upstream that reported that it leaves. A working
+ * store notifies all of them within 2 to 12 ms (27 changes at nine gateways).
  */
 const PROPAGATION_DELAY_MS = 100;
 const VIEW_COPIES: RequestedCopies = {
@@ -75,9 +72,9 @@
   packed: true,
 };
 /**
- * Compares with one peer at a time what each knows of configuration and
- * upstreams, so that an instance which the store turns away, or which starts in
- * an outage, has both from its peers. The cost does not grow with the fleet.
+ * Compares configuration and upstreams with one peer per round, so that an instance which
+ * the store refuses, or which starts during an outage, gets both from its peers. The cost
+ * per instance does not grow with the fleet.
  */
 export class GossipExchange {
   private readonly parts: GossipExchangeParts;
@@ -117,10 +114,10 @@
   }
 
   /**
-   * Has peers told soon of what only instances know: upstreams that leave by their own
-   * word, unless the store says so meanwhile, and requests that crash upstreams. Each peer
-   * that learns of one does the same, so that the news is with 90 instances after some
-   * seven such pauses and not as many rounds.
+   * Schedules an early round to propagate reports that are not in the store: upstreams that
+   * reported that they leave, unless the store lists them as leaving by then, requests that
+   * crash upstreams, and limits. Each peer that receives a new report does the same, so that
+   * 90 instances have it after about seven such delays instead of as many rounds.
    */
   schedulePropagation(): void {
     if (this.propagationTimer) return;
@@ -133,7 +130,7 @@
     );
   }
 
-  /** Asks one peer, or the seeds while no peer is known. */
+  /** Asks one peer, or the seeds while no peer is known; every few rounds a seed as well. */
   async runRound(): Promise<void> {
     const {addresses, standby} = this.peerSelector.chooseForRound();
     const requestedCopies = this.getDueCopies();
@@ -142,7 +139,7 @@
         ? this.askWithStandby(address, standby, requestedCopies)
         : this.askPeer(address, NO_COPIES),
     );
-    // A peer that is gone must not hold up the next round.
+    // An unresponsive peer must not delay the next round.
     await Promise.race([
       Promise.all(pendingReplies),
       waitFor(this.parts.clock, this.roundMs),
@@ -150,9 +147,11 @@
   }
 
   /**
-   * Compares with a peer at once and takes what it knows beyond this instance.
+   * Compares with a peer at once and applies what it has and this instance lacks.
    *
-   * @param which One of another failure domain, or another one beside it.
+   * @param which `far` for a peer of another failure domain; `near` for a different peer,
+   * preferably of the same failure domain.
+   * @returns The kind of peer that answered, or `none`.
    */
   async refreshView(which: 'far' | 'near'): Promise<PeerReach> {
     const {membership} = this.parts;
@@ -165,7 +164,7 @@
     return isFar ? 'far' : 'near';
   }
 
-  /** Answers a peer's question. */
+  /** Answers a peer's `copy` request with the copies that it asked for and lacks. */
   answerCopy(request: Extract<PeerRequest, {type: 'copy'}>): PeerReply {
     const {routeHolder, registry, membership} = this.parts;
     const {wishes: requestedCopies} = request;
@@ -173,7 +172,7 @@
       routeHolder.getRevision() > request.configurationRevision;
     const isDigestOther = registry.getDigest() !== request.digest;
     this.state.recordMessage(request, request.self.address);
-    // Whoever asks may know more than the one that is asked.
+    // The requesting peer may have newer state than this instance.
     if (!request.isLeaving) {
       this.recordPeerRevisions({...request, isDigestOther});
       this.scheduleCopyRequest(request.self.address);
@@ -237,7 +236,7 @@
     if (!isAnswered) await this.askPeer(standby, requestedCopies);
   }
 
-  // Resolves to whether the peer has answered.
+  // Resolves to true if the peer answered.
   private async askPeer(
     address: string,
     requestedCopies: RequestedCopies,
@@ -280,7 +279,7 @@
       isCopyApplied,
       source,
     });
-    // Its upstreams are the same without those that are missing here.
+    // The digests are equal and exclude missing entries, so the peer lacks these too.
     if (!reply.isProvisional && !reply.isDigestOther) {
       registry.endGraceOfMissing(source);
     }
@@ -299,8 +298,8 @@
     }
   }
 
-  // What one peer has and the watch has not brought in its time is asked for at
-  // once, from the peer that has it: the next round might meet one that is gone.
+  // If the watch does not bring a peer's newer revision in time, the copy is requested
+  // from that peer at once: the next round might choose an unresponsive one.
   private scheduleCopyRequest(address: string): void {
     if (this.copyTimer || !this.hasPendingRevision()) return;
     const {clock} = this.parts;
@@ -327,7 +326,7 @@
       routeHolder.getRevision(),
       nowMs,
     );
-    // One in its grace sends no copy of its upstreams.
+    // A peer in its grace period sends no copy of its upstreams.
     if (!peer.isDigestOther || peer.isProvisional) return;
     this.pendingUpstreams.recordRevision(
       peer.storeRevision,
--- a/packages/gateway/src/gossip-peer-selector.test.ts
+++ b/packages/gateway/src/gossip-peer-selector.test.ts
@@ -26,7 +26,7 @@
   return {far: far?.id, near: near?.id, hasOtherDomains};
 }
 
-test('a refresh asks a peer of another failure domain and one of the own', t => {
+test('a refresh asks a peer of another failure domain and one of the same', t => {
   const [a, b, c] = [
     createPeer('a1', 'a'),
     createPeer('b1', 'b'),
--- a/packages/gateway/src/gossip-peer-selector.ts
+++ b/packages/gateway/src/gossip-peer-selector.ts
@@ -1,44 +1,41 @@
 import type {Membership, PeerRecord} from '@hollowstack/peers';
 import {chooseSubset} from '@hollowstack/routing';
 
-/** Dependencies of ExchangePartners. */
+/** Dependencies of GossipPeerSelector. */
 export interface GossipPeerSelectorParts {
   readonly membership: Membership;
-  /** Addresses to ask where no peer is known yet. */
+  /** Addresses to ask while no peer is known. */
   readonly seeds: readonly string[];
   /** Returns numbers from 0 to below 1. */
   readonly random: () => number;
 }
 
-/** Whom one round of the exchange asks. */
+/** The addresses that one gossip round asks. */
 export interface GossipRound {
-  /** Asked at once; the first of them is also asked for copies. */
+  /** Asked at once; copies are requested only from the first. */
   readonly addresses: readonly string[];
-  /** Asked in its place where the first does not answer soon. */
+  /** Asked if the first address does not answer soon. */
   readonly standby: string | undefined;
 }
 
-/** Whom a refresh of the view of the store asks. */
+/** The peers that a refresh of the store view may ask. */
 export interface RefreshPeers {
-  /** Of another failure domain, where there is any. */
+  /** A peer of another failure domain if one is known, else any known peer. */
   readonly far: PeerRecord | undefined;
-  /** Another one, of the own failure domain if there is any. */
+  /** A different reachable peer, preferably of this instance's failure domain. */
   readonly near: PeerRecord | undefined;
   /** Whether peers of other failure domains are known, reachable or not. */
   readonly hasOtherDomains: boolean;
 }
 
-/**
- * Every so many rounds a seed is asked too, which joins groups that know
- * nothing of each other.
- */
+/** Number of rounds after which a seed is asked as well, to join groups with no common peer. */
 const SEEDS_EVERY_ROUNDS = 8;
-/** Peers that an instance of a large fleet keeps connections to. */
+/** Maximum number of peers that most rounds choose from. */
 const NEIGHBOUR_COUNT = 8;
-/** Every so many rounds a peer beyond the neighbours is asked. */
+/** Number of rounds after which one round chooses from all peers, not only neighbours. */
 const ANY_PEER_EVERY_ROUNDS = 5;
 
-/** Chooses whom an instance compares its copies with. */
+/** Chooses the peers that an instance gossips with. */
 export class GossipPeerSelector {
   private readonly parts: GossipPeerSelectorParts;
   private roundCount = 0;
@@ -47,7 +44,7 @@
     this.parts = parts;
   }
 
-  /** Chooses one peer, or the seeds while no peer is known. */
+  /** Chooses one reachable peer, sometimes with a seed, or all seeds if none is reachable. */
   chooseForRound(): GossipRound {
     const {membership, random} = this.parts;
     const peers = membership.listReachablePeers();
@@ -68,7 +65,7 @@
     };
   }
 
-  /** Chooses whom to compare with at once. */
+  /** Chooses the peers to compare with when the view is refreshed. */
   chooseForRefresh(): RefreshPeers {
     const {membership} = this.parts;
     const own = membership.getSelf().failureDomain;
@@ -96,7 +93,7 @@
     return seeds.filter(address => address !== own);
   }
 
-  // Connections have a price at both ends, so most rounds go to the same few.
+  // Connections cost resources at both ends, so most rounds choose from the same few peers.
   private listNeighbours(peers: readonly PeerRecord[]): readonly PeerRecord[] {
     if (peers.length <= NEIGHBOUR_COUNT) return peers;
     const own = this.parts.membership.getSelf().id;
--- a/packages/gateway/src/gossip-state.ts
+++ b/packages/gateway/src/gossip-state.ts
@@ -6,7 +6,7 @@
 import type {RouteHolder} from './route-holder.ts';
 import type {UpstreamRegistry} from './upstream-registry.ts';
 
-/** Dependencies of SharedKnowledge. */
+/** Dependencies of GossipState. */
 export interface GossipStateParts {
   readonly membership: Membership;
   readonly routeHolder: RouteHolder;
@@ -17,7 +17,7 @@
   readonly freshness: Pick<FreshnessTable, 'recordKnown' | 'getKnownUntilMs'>;
 }
 
-/** What instances tell each other in every comparison, whoever asks. */
+/** The fields that both requests and replies of a comparison carry. */
 export type GossipMessage = Pick<
   Extract<PeerReply, {type: 'copy'}>,
   | 'self'
@@ -31,16 +31,16 @@
   | 'limits'
 >;
 
-/** How a comparison with a peer was made. */
+/** Circumstances of a comparison with a peer. */
 export interface ComparisonInput {
-  /** When the question was sent, which is no later than when it arrived. */
+  /** When the request was sent, which is no later than when the peer received it. */
   readonly askedAtMs: number;
-  /** Whether the reply's copy of upstreams was taken. */
+  /** Whether the reply's copy of the upstreams was applied. */
   readonly isCopyApplied: boolean;
   readonly source: string;
 }
 
-/** The small part of an instance's knowledge that goes with every question and answer. */
+/** Builds the state that every gossip request and reply carries, and applies that of peers. */
 export class GossipState {
   private readonly parts: GossipStateParts;
 
@@ -64,7 +64,7 @@
     };
   }
 
-  /** Takes what a peer tells. */
+  /** Applies the state that a peer sent. */
   recordMessage(message: GossipMessage, address: string): void {
     const {registry, evacuated, suspects, limits} = this.parts;
     const source = `peer ${address}`;
@@ -76,7 +76,10 @@
     limits.applyReports(message.limits ?? [], source);
   }
 
-  /** Returns how current each part of the view is, as offsets to a time of the clock. */
+  /**
+   * Returns up to when each part of the view is known to be complete, as milliseconds
+   * relative to `nowMs`; undefined for a part without evidence.
+   */
   computeViewOffsets(nowMs: number): ViewOffsets {
     const compute = (part: ViewPart) => {
       const knownUntilMs = this.parts.freshness.getKnownUntilMs(part);
@@ -90,8 +93,8 @@
   }
 
   /**
-   * Takes what a comparison shows: where nothing is missing here that the peer knows, this
-   * instance knows every change up to the same time as the peer.
+   * Records the freshness that a comparison proves: if this instance lacks nothing that the
+   * peer has, it knows every change up to the same time as the peer.
    */
   recordComparison(
     reply: Extract<PeerReply, {type: 'copy'}>,
@@ -112,7 +115,7 @@
     }
   }
 
-  /** Returns whether there is anything that only instances tell each other. */
+  /** Returns whether there are reports that peers get from instances only, not from the store. */
   hasUnstoredReports(): boolean {
     const {registry, suspects, limits} = this.parts;
     return (
@@ -122,7 +125,7 @@
     );
   }
 
-  // One that stops still answers, but nothing new must go to it.
+  // A stopping peer still answers, but must get no new requests.
   private recordPeer({self, isLeaving}: GossipMessage): void {
     const {membership} = this.parts;
     if (isLeaving) membership.recordUnreachable(self.id);
--- a/packages/gateway/src/limit-propagation.test.ts
+++ b/packages/gateway/src/limit-propagation.test.ts
@@ -4,14 +4,14 @@
 import {test} from 'node:test';
 import {ViewFleet} from './test-utils/view-fleet.ts';
 
-/** Milliseconds within which a limit, a change or its end must reach all instances. */
+/** Time within which a limit, its change or its end must reach all instances. */
 const MAX_PROPAGATION_MS = 3000;
 const STARTUP_MS = 8000;
 const SEED_COUNT = 4;
 const UPSTREAM = {id: 'b', service: 'plain'};
 
 for (const count of [2, 9, 40]) {
-  test(`a limit, a change and its end reach ${count} instances in time while the store is unavailable`, async () => {
+  test(`a limit, its change and its end reach ${count} instances in time while the store is unavailable`, async () => {
     const late: string[] = [];
     for (let seed = 1; seed <= SEED_COUNT; seed++) {
       const clock = new ManualClock();
--- a/packages/gateway/src/pending-peer-revision.test.ts
+++ b/packages/gateway/src/pending-peer-revision.test.ts
@@ -4,14 +4,14 @@
 
 const COPY_DELAY_MS = 600;
 
-test('a copy is asked for only once the store had its time to tell', () => {
+test('a copy is due only after the delay in which the store may bring the change', () => {
   const pending = new PendingPeerRevision(COPY_DELAY_MS);
   pending.recordRevision(7, 5, 1000);
   assert.equal(pending.isDue(5, 1500), false);
   assert.equal(pending.isDue(5, 1600), true);
 });
 
-test('what the store has told meanwhile is no news', () => {
+test('no copy is due for a revision that the store has brought meanwhile', () => {
   const pending = new PendingPeerRevision(COPY_DELAY_MS);
   pending.recordRevision(7, 5, 1000);
   assert.equal(pending.isDue(7, 1700), false);
@@ -20,7 +20,7 @@
   assert.equal(pending.isDue(7, 2300), true);
 });
 
-test('further news do not put the asking off', () => {
+test('a further revision of a peer does not postpone the copy', () => {
   const pending = new PendingPeerRevision(COPY_DELAY_MS);
   pending.recordRevision(7, 5, 1000);
   pending.recordRevision(8, 5, 1500);
--- a/packages/gateway/src/self-reported-leaving.test.ts
+++ b/packages/gateway/src/self-reported-leaving.test.ts
@@ -4,9 +4,9 @@
 import {createSeededRandom} from '@hollowstack/local-system';
 import {ViewFleet} from './test-utils/view-fleet.ts';
 
-/** Milliseconds in which a change must be in force. */
+/** Time within which a change must be in force. */
 const FOLLOW_WITHIN_MS = 2000;
-/** Milliseconds after which a fleet has its watchers and streams. */
+/** Time after which a fleet has its watches and streams. */
 const START_MS = 8000;
 const SEED_COUNT = 8;
 
@@ -30,7 +30,7 @@
 }
 
 for (const count of [2, 9, 40]) {
-  test(`what an upstream tells one of ${count} instances, all know within the time of a change, also without the store`, async () => {
+  test(`an upstream's report of leaving to one of ${count} instances reaches all in time without the store`, async () => {
     const late: string[] = [];
     for (let seed = 1; seed <= SEED_COUNT; seed++) {
       const clock = new ManualClock();
--- a/packages/gateway/src/suspect-propagation.test.ts
+++ b/packages/gateway/src/suspect-propagation.test.ts
@@ -4,15 +4,15 @@
 import {createSeededRandom} from '@hollowstack/local-system';
 import {ViewFleet} from './test-utils/view-fleet.ts';
 
-/** Milliseconds after the third crash in which every instance has to know. */
+/** Time after the third crash within which every instance must quarantine the request. */
 const MAX_PROPAGATION_MS = 3000;
-/** Milliseconds after which a fleet has its watchers and streams. */
+/** Time after which a fleet has its watches and streams. */
 const START_MS = 8000;
 const SEED_COUNT = 8;
 const POISON = {fingerprint: 'poison', service: 'plain', workspace: 'w1'};
 
 for (const count of [3, 9, 40]) {
-  test(`crashes that three of ${count} instances saw quarantine a request on all of them, also without the store`, async () => {
+  test(`crashes seen by three of ${count} instances quarantine the request on all of them without the store`, async () => {
     const late: string[] = [];
     for (let seed = 1; seed <= SEED_COUNT; seed++) {
       const clock = new ManualClock();
