--- a/packages/gateway/src/content-revision.test.ts
+++ b/packages/gateway/src/content-revision.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {ContentRevision} from './content-revision.ts';
 
-test('content is complete up to the newest change while nothing was missed', () => {
+test('content is complete up to the newest change if no change was missed', () => {
   const revision = new ContentRevision();
   revision.recordChange(3);
   assert.equal(revision.getComplete(), 0);
@@ -11,7 +11,7 @@
   assert.deepEqual([revision.getNewest(), revision.getComplete()], [7, 7]);
 });
 
-test('changes after a gap are not complete until a reading', () => {
+test('content after a gap is not complete until a full read', () => {
   const revision = new ContentRevision();
   revision.recordFullRead(5);
   revision.beginGap();
@@ -21,7 +21,7 @@
   assert.deepEqual([revision.getNewest(), revision.getComplete()], [9, 9]);
 });
 
-test('the copy of a peer is complete up to its own revision only', () => {
+test('the copy of a peer makes the content complete only up to its own revision', () => {
   const revision = new ContentRevision();
   revision.recordFullRead(5);
   revision.beginGap();
--- a/packages/gateway/src/content-revision.ts
+++ b/packages/gateway/src/content-revision.ts
@@ -1,24 +1,24 @@
 /**
- * Store revisions of a range's content. After a watch began anew, changes arrive while
- * others, from before it, are still unknown; until the next reading the content is complete
- * only up to where the previous watch left off.
+ * Store revisions of a range's content. After a watch has restarted, changes arrive while
+ * earlier ones may be missing. Until the next full read the content is complete only up to
+ * the revision at which the previous watch ended.
  */
 export class ContentRevision {
   private newest = 0;
   private complete = 0;
   private hasGap = true;
 
-  /** Returns the store revision of the newest change that is known. */
+  /** Returns the store revision of the newest known change. */
   getNewest(): number {
     return this.newest;
   }
 
-  /** Returns the store revision up to which every change is known; 0 before a reading. */
+  /** Returns the store revision up to which every change is known; 0 before a full read. */
   getComplete(): number {
     return this.complete;
   }
 
-  /** Notes that changes may have been missed, which the next reading brings. */
+  /** Records that changes may have been missed, until the next full read. */
   beginGap(): void {
     this.hasGap = true;
   }
@@ -28,13 +28,13 @@
     if (!this.hasGap) this.complete = this.newest;
   }
 
-  /** Notes a reading that belongs to the current watch. */
+  /** Records a full read that belongs to the current watch. */
   recordFullRead(storeRevision: number): void {
     this.hasGap = false;
     this.recordChange(storeRevision);
   }
 
-  /** Notes a peer's complete content, which need not reach the current watch's start. */
+  /** Records a peer's complete content, which may end before the current watch began. */
   recordCopy(storeRevision: number): void {
     this.recordChange(storeRevision);
     this.complete = Math.max(this.complete, storeRevision);
--- a/packages/gateway/src/create-freshness-guard.ts
+++ b/packages/gateway/src/create-freshness-guard.ts
@@ -8,7 +8,7 @@
 import type {GossipExchange} from './gossip-exchange.ts';
 import type {GatewayEnvironment} from './create-gateway.ts';
 
-/** Has the store's watch, or the peers that pass its changes on, asked at once. */
+/** Makes the watch ask the store, or the peers that relay its changes, at once. */
 class WatchRefresher extends ViewRefresher {
   private readonly store: KeyValueStore;
 
@@ -23,7 +23,7 @@
   }
 }
 
-/** Compares with a peer at once. */
+/** Compares the view with that of a peer at once. */
 class PeerRefresher extends ViewRefresher {
   private readonly exchange: Pick<GossipExchange, 'refreshView'>;
   private readonly which: 'far' | 'near';
@@ -42,7 +42,7 @@
   }
 }
 
-/** Wires the guard of the view of the store to the ways by which the view is refreshed. */
+/** Creates the guard of the store view with its refreshers, and the gauge of the view's age. */
 export function createFreshnessGuard(
   {
     clock,
--- a/packages/gateway/src/create-store-view.ts
+++ b/packages/gateway/src/create-store-view.ts
@@ -19,21 +19,22 @@
 import type {UpstreamRegistry} from './upstream-registry.ts';
 import {createWatchTiming} from './watch-timing.ts';
 
-/** What keeps an instance's view of the store up to date. */
+/** The components that keep an instance's view of the store up to date. */
 export interface StoreView {
   readonly membership: Membership;
   readonly watchHub: WatchHub;
   readonly followers: readonly StoreFollower[];
-  /** Compares what is known with peers. */
+  /** Exchanges configuration, upstreams and reports with peers. */
   readonly exchange: GossipExchange;
-  /** Has the view refreshed before something is decided by a stale one. */
+  /** The time up to which each part of the view is known to be complete. */
   readonly freshness: FreshnessTable;
+  /** Refreshes a stale view before a decision relies on it. */
   readonly freshnessGuard: FreshnessGuard;
-  /** Passes changes on to peers that do not watch the store. */
+  /** Relays changes to peers that do not watch the store. */
   readonly relay: RelayServer;
 }
 
-/** Dependencies of the view of the store. */
+/** Dependencies of the store view. */
 export interface StoreViewParts {
   readonly settings: Pick<
     GatewaySettings,
@@ -44,32 +45,32 @@
     'clock' | 'logger' | 'metrics' | 'random' | 'store' | 'requestProtocol'
   >;
   readonly link: PeerLink;
-  /** Takes configurations. */
+  /** Receives configurations. */
   readonly routeHolder: RouteHolder;
-  /** Takes registrations of upstreams. */
+  /** Receives registrations of upstreams. */
   readonly registry: UpstreamRegistry;
-  /** Takes evacuations of failure domains. */
+  /** Receives evacuations of failure domains. */
   readonly evacuated: EvacuatedDomains;
-  /** Takes what peers know of requests that crash upstreams. */
+  /** Receives peers' reports of requests that crash upstreams. */
   readonly suspects: SuspectTable;
   readonly limits: LimitTable;
 }
 
 /**
- * Milliseconds after which an instance that died is off the list. Whoever needs
- * one finds out by asking; the list only has to forget, and each renewal has a
- * price: 0.02 calls a second and instance at a third of this time.
+ * Time after which a crashed instance is removed from the member list. Peers detect a
+ * crash sooner by failed requests, so the lease only cleans up the list. Each renewal
+ * has a cost: 0.02 calls per second and instance at a third of this time.
  */
 const MEMBER_LEASE_MS = 15_000;
 
 /**
- * Milliseconds between attempts to watch the store again. The last one is
- * bounded by the 3 s after an outage in which an instance must have caught up:
- * an attempt that meets the outage's end may itself take the store's time-out.
+ * Back-off between attempts to restart the watch. The maximum is bounded by the 3 s after
+ * an outage in which an instance must be up to date: an attempt that overlaps the end of
+ * the outage may itself take the store's time-out.
  */
 const WATCH_BACKOFF = {minBackoffMs: 200, maxBackoffMs: 1000};
 
-/** Wires what follows the store: the watch, its relay, and the exchange with peers. */
+/** Creates the watch of the store, its relay and the gossip with peers. */
 export function createStoreView(parts: StoreViewParts): StoreView {
   const {settings, environment, link, routeHolder, registry, evacuated} = parts;
   const {suspects, limits} = parts;
@@ -173,8 +174,8 @@
   'store' | 'clock' | 'random' | 'logger'
 >;
 
-// One range for all that operators write: a range of its own for evacuations would
-// cost each watcher of the store a third of its calls more.
+// Follows one range for everything that operators write. A separate range for evacuations
+// would cost each watcher of the store a third more calls.
 function createOperatorFollower(
   parts: FollowerParts,
   {operatorPrefix, configurationKey}: RequestProtocol,
--- a/packages/gateway/src/late-full-read.test.ts
+++ b/packages/gateway/src/late-full-read.test.ts
@@ -1,4 +1,5 @@
-// Guards against a range's content standing under a store revision newer than itself.
+// Guards against content that is older than the store revision recorded for it: a full read
+// sent before the watch restarted is answered late, after changes that it lacks.
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {ManualClock} from '@hollowstack/clock';
@@ -7,13 +8,13 @@
 import {OPERATOR_PREFIX, UPSTREAM_PREFIX} from './test-utils/view-store.ts';
 
 const FOLLOW_WITHIN_MS = 2000;
-/** Milliseconds after which an instance has its watch. */
+/** Time after which an instance has its watch. */
 const START_MS = 3000;
-/** Longer than a new watch takes to begin, backoff included. */
+/** Longer than a restarted watch takes to begin, back-off included. */
 const READ_DELAY_MS = 700;
-/** Milliseconds after which a broken watch has begun again and reads. */
+/** Time after which an interrupted watch has restarted and begun its full read. */
 const RESYNC_MS = 450;
-/** Milliseconds after the end of trouble in which an instance must be up to date. */
+/** Time after the last fault within which an instance must be up to date. */
 const RECOVERY_MS = 3000;
 const SEEDS = [1, 2, 3, 4, 5];
 
@@ -61,7 +62,7 @@
   return outcome;
 }
 
-test('a reading that gets no answer does not hold up the one of the next watch', async () => {
+test('an unanswered full read does not delay that of the next watch', async () => {
   const clock = new ManualClock();
   const fleet = createFleet(clock, 1);
   const {store} = fleet;
@@ -84,7 +85,7 @@
   await clock.advance(2 * FOLLOW_WITHIN_MS);
 });
 
-test('a reading that was sent before a watch began leaves no change unknown', async () => {
+test('a full read that was sent before a watch began does not hide later changes', async () => {
   const outcomes = await Promise.all(SEEDS.map(seed => runLateFullRead(seed)));
   const behind = outcomes.flatMap(outcome => outcome.behind);
   const sending = outcomes.flatMap(outcome => outcome.sending);
--- a/packages/gateway/src/store-follower.ts
+++ b/packages/gateway/src/store-follower.ts
@@ -8,32 +8,29 @@
   WatchSubscription,
 } from '@hollowstack/store';
 
-/**
- * Milliseconds before a failed reading is tried again, at first; some ten
- * answers of a healthy store.
- */
+/** Initial delay before a failed read is retried; about ten answers of a healthy store. */
 const MIN_RETRY_MS = 300;
-/** An instance must have caught up some 3 s after the store is back. */
+/** Bounded because an instance must be up to date about 3 s after the end of an outage. */
 const MAX_RETRY_MS = 800;
 
-/** What a follower keeps up to date. */
+/** Dependencies of StoreFollower and the handlers that it calls. */
 export interface StoreFollowerParts {
   readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly random: () => number;
   readonly logger: EventLogger;
   readonly range: KeyRange;
-  readonly handleFullRead: (reading: RangeResult) => void;
-  /** Called when changes may have been missed, which the next reading brings. */
+  readonly handleFullRead: (result: RangeResult) => void;
+  /** Called when changes may have been missed; a full read follows. */
   readonly handleMissedChanges: () => void;
-  /** Called before the first reading after the store was away. */
+  /** Called before the first full read after a store outage. */
   readonly handleOutageEnd?: () => void;
   readonly handleChanges: (events: readonly WatchEvent[]) => void;
-  /** Called when every change up to a time of the clock was handled. */
+  /** Called when every change up to `knownUntilMs` of the clock has been handled. */
   readonly handleKnownUntil: (knownUntilMs: number) => void;
 }
 
-/** Follows one range: reads it whole whenever the watch stands anew, then by changes. */
+/** Follows one key range: a full read each time the watch restarts, then the watch's changes. */
 export class StoreFollower implements WatchSubscription {
   readonly range: KeyRange;
   private readonly parts: StoreFollowerParts;
@@ -67,13 +64,10 @@
     this.stopController.abort(new Error('stopped'));
   }
 
-  /**
-   * Reads the range, again and again until the store answers. Takes the place of a reading
-   * that is under way.
-   */
+  /** Reads the whole range and retries until the store answers. Replaces a read in flight. */
   refresh(): Promise<void> {
     this.isReadDue = true;
-    this.readController.abort(new Error('another reading takes its place'));
+    this.readController.abort(new Error('replaced by a newer read'));
     this.readController = new AbortController();
     const {signal} = this.readController;
     return this.readUntilAnswered(
--- a/packages/gateway/src/store-view.test.ts
+++ b/packages/gateway/src/store-view.test.ts
@@ -4,15 +4,15 @@
 import {createSeededRandom} from '@hollowstack/local-system';
 import {ViewFleet} from './test-utils/view-fleet.ts';
 
-/** Milliseconds in which a change must be in force. */
+/** Time within which a change must be in force. */
 const FOLLOW_WITHIN_MS = 2000;
-/** Milliseconds after which a fleet has its watchers and streams. */
+/** Time after which a fleet has its watches and streams. */
 const START_MS = 8000;
-/** Milliseconds after a harm within which changes are made. */
+/** Maximum time between a fault and the change. */
 const CHANGE_WITHIN_MS = 4000;
 const SEED_COUNT = 40;
 
-/** What is harmed in one play, drawn by its seed. */
+/** Faults, of which each seed injects one. */
 const FAULTS = [
   'store-connections-of-one',
   'store-connections-of-all',
@@ -48,7 +48,7 @@
   }
 }
 
-/** What operators and upstreams change after a harm, drawn by its seed. */
+/** Changes by operators and upstreams after a fault; each has a test. */
 const CHANGES = ['leave', 'evacuate', 'evacuate-and-return'] as const;
 type Change = (typeof CHANGES)[number];
 
@@ -58,7 +58,7 @@
   readonly random: () => number;
 }
 
-/** Makes upstream `b` leave, or evacuates its domain; returns what is late. */
+/** Makes upstream `b` leave, or evacuates its domain; returns the instances that are late. */
 async function runChange(
   {fleet, clock, random}: Scenario,
   change: Change,
@@ -81,11 +81,11 @@
   return [...late, ...idle.map(({id}) => `${id} does not send again`)];
 }
 
-/** Plays one seed and returns what did not hold. */
+/** Runs the scenario of one seed and returns the failures. */
 async function runSeed(seed: number, change: Change): Promise<string[]> {
   const random = createSeededRandom(seed);
   const clock = new ManualClock();
-  // Nine instances all watch the store; of 24 in three domains 15 follow others.
+  // Nine instances all watch the store; of 24 in three domains 15 follow a relay.
   const count = random() < 0.5 ? 9 : 24;
   const fleet = new ViewFleet({
     clock,
@@ -114,7 +114,7 @@
 }
 
 for (const change of CHANGES) {
-  test(`a change (${change}) is in force at all instances in its time, whatever falls silent`, async () => {
+  test(`a change (${change}) is in force at all instances in time, whichever connections become unresponsive`, async () => {
     const late: string[] = [];
     for (let seed = 1; seed <= SEED_COUNT; seed++) {
       late.push(...(await runSeed(seed, change)));
--- a/packages/gateway/src/test-utils/connection.ts
+++ b/packages/gateway/src/test-utils/connection.ts
@@ -1,7 +1,7 @@
-/** Milliseconds of one message between two processes. */
+/** One-way latency of a message between two processes. */
 export const LATENCY_MS = 2;
 
-/** A connection that may fall silent for good, without a reset. */
+/** A connection that may become unresponsive for good, without a reset. */
 export interface Connection {
   isSilent: boolean;
 }
--- a/packages/gateway/src/test-utils/view-fleet.ts
+++ b/packages/gateway/src/test-utils/view-fleet.ts
@@ -58,7 +58,7 @@
   }),
 } as unknown as RequestProtocol;
 
-/** One instance of a fleet, as far as it follows the store. */
+/** The parts of one instance that follow the store. */
 export interface ViewInstance {
   readonly id: string;
   readonly client: ViewStoreClient;
@@ -71,7 +71,7 @@
   readonly freshnessGuard: FreshnessGuard;
 }
 
-/** How a fleet is started. */
+/** Options of ViewFleet. */
 export interface ViewFleetOptions {
   readonly clock: ManualClock;
   readonly random: () => number;
@@ -80,7 +80,7 @@
   readonly followWithinMs: number;
 }
 
-/** Instances that follow one store, in memory and on a manual clock. */
+/** Instances that follow one in-memory store, on a manual clock. */
 export class ViewFleet {
   readonly store = new ViewStore();
   readonly instances: ViewInstance[] = [];
@@ -113,7 +113,7 @@
     );
   }
 
-  /** Lists the instances that a configuration has not reached. */
+  /** Lists the instances whose configuration is older than a revision. */
   listBehind(revision: number): ViewInstance[] {
     return this.instances.filter(
       ({routeHolder}) => routeHolder.getRevision() < revision,
--- a/packages/gateway/src/test-utils/view-peer-network.ts
+++ b/packages/gateway/src/test-utils/view-peer-network.ts
@@ -2,7 +2,7 @@
 import {PeerNetwork, type PeerSocket} from '@hollowstack/peers';
 import {LATENCY_MS, type Connection} from './connection.ts';
 
-/** Streams between the instances of a fleet. */
+/** In-memory streams between the instances of a fleet. */
 export class ViewPeerNetwork extends PeerNetwork {
   private readonly clock: ManualClock;
   private readonly listeners: Map<string, (socket: PeerSocket) => void>;
--- a/packages/gateway/src/test-utils/view-store-client.ts
+++ b/packages/gateway/src/test-utils/view-store-client.ts
@@ -18,14 +18,14 @@
 import {LATENCY_MS, type Connection} from './connection.ts';
 import type {ViewStore} from './view-store.ts';
 
-/** Milliseconds for one answer of the store, as the settings' default. */
+/** Time-out of a call of the store, the default of the settings. */
 export const STORE_TIMEOUT_MS = 1000;
 
-/** One instance's way to the store, over connections that are kept. */
+/** One instance's client of the in-memory store, over persistent connections. */
 export class ViewStoreClient extends KeyValueStore {
   /** Whether the store refuses every call of this instance. */
   isRefused = false;
-  /** Milliseconds by which whole readings are answered late, by the range's first key. */
+  /** Delay of answers to full reads in milliseconds, by the first key of the range. */
   readonly readDelaysMs = new Map<string, number>();
   private readonly clock: ManualClock;
   private readonly store: ViewStore;
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Ends the calls of watches that wait now, as a store that forgets its history does. */
+  /** Ends the pending watch calls, as a store does that has compacted its history. */
   endWatches(): void {
     const error = new StoreRefusalError('the history is gone', 'none');
     this.historyController.abort(error);
@@ -60,10 +60,10 @@
 
   async readRange(range: KeyRange): Promise<RangeResult> {
     return this.call(async () => {
-      const reading = this.store.read(range);
+      const result = this.store.read(range);
       const delayMs = this.readDelaysMs.get(range.start) ?? 0;
       if (delayMs > 0) await waitFor(this.clock, delayMs);
-      return reading;
+      return result;
     });
   }
 
@@ -135,8 +135,8 @@
     }
   }
 
-  // As the client over HTTP does: idle connections are used again, and after a
-  // failure on one of them the others are closed too.
+  // Behaves like the HTTP client: idle connections are reused, and after a failure on one
+  // of them the others are closed as well.
   private async send<Answer>(
     run: () => Promise<Answer>,
     signal: AbortSignal,
--- a/packages/gateway/src/test-utils/view-store.ts
+++ b/packages/gateway/src/test-utils/view-store.ts
@@ -7,16 +7,16 @@
   WatchEvent,
 } from '@hollowstack/store';
 
-/** Prefix of the upstreams' registrations. */
+/** Key prefix of the upstreams' registrations. */
 export const UPSTREAM_PREFIX = 'upstreams/';
-/** Prefix of what operators write. */
+/** Key prefix of everything that operators write. */
 export const OPERATOR_PREFIX = 'operators/';
 /** Key of the configuration. */
 export const CONFIGURATION_KEY = 'operators/configuration';
-/** Prefix of evacuations. */
+/** Key prefix of evacuations. */
 export const EVACUATION_PREFIX = 'operators/evacuated/';
 
-/** The content of a store and its history, shared by the instances of a fleet. */
+/** An in-memory store with its history, shared by the instances of a fleet. */
 export class ViewStore {
   private revision = 1;
   private readonly keyValues = new Map<string, KeyValue>();
--- a/packages/gateway/src/view-freshness.test.ts
+++ b/packages/gateway/src/view-freshness.test.ts
@@ -13,7 +13,7 @@
 const FAULTS_MS = 8000;
 const RECOVERY_MS = 3000;
 
-/** Changes that the store has acknowledged, with the times at which it did. */
+/** Changes that the store has acknowledged, with the times of the acknowledgements. */
 class AcknowledgedChanges {
   readonly configurations: Array<{atMs: number; revision: number}> = [];
   readonly leaves: Array<{atMs: number; id: string}> = [];
@@ -36,7 +36,7 @@
     this.leaves.push({atMs: this.clock.getNow(), id});
   }
 
-  /** Lists what an instance does not know though it has evidence that it does. */
+  /** Lists changes that an instance lacks although its freshness claims to include them. */
   listUnknown(instance: ViewInstance): string[] {
     const {id, freshness, routeHolder, registry} = instance;
     const configurationMs = freshness.getKnownUntilMs('configuration') ?? 0;
@@ -75,7 +75,7 @@
   return fleet;
 }
 
-/** Strikes some instances at random; returns a function that ends what does not end itself. */
+/** Injects a random fault at some instances; returns a function that ends lasting faults. */
 function applyFault(fleet: ViewFleet, random: () => number): () => void {
   const {instances} = fleet;
   const share = random();
@@ -117,7 +117,7 @@
       if (random() < 0.02) acknowledged.putConfiguration();
       if (random() < 0.02 && leaveCount < 59)
         acknowledged.putLeave(`u${leaveCount++}`);
-      // What callers would ask for.
+      // Requests of callers would trigger these refreshes.
       for (const {freshnessGuard} of fleet.instances) {
         if (freshnessGuard.isRefreshDue()) void freshnessGuard.refresh();
       }
@@ -142,7 +142,7 @@
   return [...unknown];
 }
 
-test('an instance never has evidence of knowing what it does not know, and is fresh again after every harm', async () => {
+test('an instance never claims to know a change that it lacks, and is fresh again after every fault', async () => {
   const unknown: string[] = [];
   for (let seed = 1; seed <= SEED_COUNT; seed++) {
     unknown.push(...(await runFaults(seed)));
@@ -151,7 +151,7 @@
 });
 
 for (const count of [9, 24, 60]) {
-  test(`the view of ${count} instances stays fresh by itself while changes come now and then`, async () => {
+  test(`the view of ${count} instances stays fresh without requests while occasional changes arrive`, async () => {
     const random = createSeededRandom(count);
     const clock = new ManualClock();
     const fleet = createFleet(clock, random, count);
--- a/packages/gateway/src/watch-timing.test.ts
+++ b/packages/gateway/src/watch-timing.test.ts
@@ -2,24 +2,27 @@
 import {test} from 'node:test';
 import {createWatchTiming} from './watch-timing.ts';
 
-test('changes are gathered for a tenth of the time, for longer by many watchers, never beyond a third', () => {
+test('changes are batched for a tenth of the time, longer with many watchers, and never beyond a third', () => {
   let watcherCount = 9;
-  const pace = createWatchTiming({
+  const timing = createWatchTiming({
     followWithinMs: 3000,
     getWatcherCount: () => watcherCount,
   });
-  assert.equal(pace.batchDelayMs, 300);
+  assert.equal(timing.batchDelayMs, 300);
   watcherCount = 50;
-  assert.equal(pace.batchDelayMs, 600);
+  assert.equal(timing.batchDelayMs, 600);
   watcherCount = 300;
-  assert.equal(pace.batchDelayMs, 1000);
+  assert.equal(timing.batchDelayMs, 1000);
 });
 
-test('gathering, a heartbeat and its margin fit in the time in which changes must be in force', () => {
-  const pace = createWatchTiming({
+test('batching, a heartbeat and its margin fit in the time within which changes must be in force', () => {
+  const timing = createWatchTiming({
     followWithinMs: 2000,
     getWatcherCount: () => 9,
   });
-  assert.equal(pace.waitMs + pace.timeoutMarginMs, 1400);
-  assert.equal(pace.batchDelayMs + pace.waitMs + pace.timeoutMarginMs, 1600);
+  assert.equal(timing.waitMs + timing.timeoutMarginMs, 1400);
+  assert.equal(
+    timing.batchDelayMs + timing.waitMs + timing.timeoutMarginMs,
+    1600,
+  );
 });
--- a/packages/gateway/src/watch-timing.ts
+++ b/packages/gateway/src/watch-timing.ts
@@ -1,47 +1,44 @@
 import type {WatchTiming} from '@hollowstack/store';
 
 /**
- * Part of the time in which a change must be in force that a call of a watch waits.
- * Its answer without a change is the heartbeat which proves that the connection
- * lives; with the margin a silent one is noticed after 0.7 of that time, which
- * leaves 0.3 for the next connection. Each heartbeat costs a call.
+ * Share of `followWithinMs` for which a watch call waits for changes. An answer without
+ * changes is the heartbeat that proves the connection alive. With the time-out margin an
+ * unresponsive connection is detected after 0.7 of `followWithinMs`, which leaves 0.3 for
+ * the next connection. Each heartbeat costs a call.
  */
 const HEARTBEAT_SHARE = 0.5;
-/**
- * Part of it by which an answer may be late: 0.4 s of 2 s, where a slow store
- * takes 0.24 s.
- */
+/** Share by which an answer may be late: 0.4 s of 2 s, while a slow store takes 0.24 s. */
 const TIMEOUT_MARGIN_SHARE = 0.2;
 /**
- * Part of the time in which a change must be in force for which the changes behind a first
- * one are gathered. Registrations change in series, and each answer costs every watcher
- * its next call. With the heartbeat and its margin 0.8 of that time are used up where the
- * connection falls silent meanwhile, which leaves the rest for the next one.
+ * Share of `followWithinMs` for which changes after a first one are batched. Registrations
+ * change in bursts, and each answer costs every watcher its next call. If the connection
+ * becomes unresponsive meanwhile, batching, heartbeat and margin take 0.8 of
+ * `followWithinMs`, which leaves the rest for the next connection.
  */
 const BATCH_DELAY_SHARE = 0.1;
-/** Part of that time that gathering may take where many instances watch. */
+/** Maximum share for batching if many instances watch. */
 const MAX_BATCH_DELAY_SHARE = 1 / 3;
 /**
- * Part of that time within which an answer should confirm what is known, also where changes
- * came late in a call; instances that follow others add their own wait to it.
+ * Share within which an answer should confirm that the view is complete, also if changes
+ * arrived late in a call. Instances that follow a relay add their own wait to it.
  */
 const CONFIRM_SHARE = 0.7;
 /**
- * Milliseconds to gather changes for each instance that watches: the calls of
- * the whole fleet for one range stay at some 80 a second, however many watch.
+ * Batching time for each watching instance. It keeps the whole fleet's calls for one range
+ * at about 80 per second, however many instances watch.
  */
 const BATCH_DELAY_MS_PER_WATCHER = 12;
 
-/** What the pace of a watch follows from. */
+/** Inputs of createWatchTiming. */
 export interface WatchTimingInput {
-  /** Milliseconds in which a change must be in force here. */
+  /** Milliseconds within which a change must be in force on this instance. */
   readonly followWithinMs: number;
   readonly getWatcherCount: () => number;
 }
 
 /**
- * Creates the pace of a watch that several instances hold. Every change costs
- * each of them a call, so that more of them gather changes for longer.
+ * Computes the timing of a watch that several instances keep open. Every change costs each
+ * of them a call, so the batching time grows with their number.
  */
 export function createWatchTiming(input: WatchTimingInput): WatchTiming {
   const {followWithinMs} = input;
