--- a/packages/gateway/src/test-utils/view-fleet.ts
+++ b/packages/gateway/src/test-utils/view-fleet.ts
@@ -71,7 +71,7 @@
   readonly freshnessGuard: FreshnessGuard;
 }
 
-/** Options of ViewFleet. */
+/** Size, failure domains and timing of a ViewFleet. */
 export interface ViewFleetOptions {
   readonly clock: ManualClock;
   readonly random: () => number;
