--- a/packages/gateway/src/create-freshness-guard.ts
+++ b/packages/gateway/src/create-freshness-guard.ts
@@ -8,8 +8,8 @@
 import type {GossipExchange} from './gossip-exchange.ts';
 import type {GatewayEnvironment} from './create-gateway.ts';
 
-/** Has the store's watch, or the peers that pass its changes on, asked at once. */
-class WatchRefresh extends ViewRefresher {
+/** Makes the watch ask the store, or the peers that relay its changes, at once. */
+class WatchRefresher extends ViewRefresher {
   private readonly store: KeyValueStore;
 
   constructor(store: KeyValueStore) {
@@ -23,8 +23,8 @@
   }
 }
 
-/** Compares with a peer at once. */
-class PeerRefresh extends ViewRefresher {
+/** Compares the view with that of a peer at once. */
+class PeerRefresher extends ViewRefresher {
   private readonly exchange: Pick<GossipExchange, 'refreshView'>;
   private readonly which: 'far' | 'near';
 
@@ -42,7 +42,7 @@
   }
 }
 
-/** Wires the guard of the view of the store to the ways by which the view is refreshed. */
+/** Creates the guard of the store view with its refreshers, and the gauge of the view's age. */
 export function createFreshnessGuard(
   {
     clock,
@@ -59,10 +59,16 @@
   metrics.setGauge('hollowstack_view_age_seconds', {}, () =>
     Math.min(Number.MAX_SAFE_INTEGER, table.getAgeMs() / 1000),
   );
-  const ways = [
-    new WatchRefresh(store),
-    new PeerRefresh(exchange, 'far'),
-    new PeerRefresh(exchange, 'near'),
+  const refreshers = [
+    new WatchRefresher(store),
+    new PeerRefresher(exchange, 'far'),
+    new PeerRefresher(exchange, 'near'),
   ];
-  return new FreshnessGuard({clock, logger, metrics, table, refreshers: ways});
+  return new FreshnessGuard({
+    clock,
+    logger,
+    metrics,
+    table,
+    refreshers,
+  });
 }
--- a/packages/gateway/src/gossip-exchange.ts
+++ b/packages/gateway/src/gossip-exchange.ts
@@ -19,87 +19,84 @@
 import {PendingPeerRevision} from './pending-peer-revision.ts';
 import {GossipState, type GossipStateParts} from './gossip-state.ts';
 
-/** How far a peer is, as far as it tells. */
+/** The revisions that a peer reports, and how its upstreams compare. */
 type PeerRevisions = Pick<
   Extract<PeerReply, {type: 'copy'}>,
   'configurationRevision' | 'storeRevision' | 'isDigestOther' | 'isProvisional'
 >;
 
-/** What the exchange works with. */
+/** Dependencies of GossipExchange. */
 export interface GossipExchangeParts extends GossipStateParts {
   readonly link: PeerLink;
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly random: () => number;
-  /** Addresses to ask where no peer is known yet. */
+  /** Addresses to ask while no peer is known. */
   readonly seeds: readonly string[];
-  /** Milliseconds in which a change must be in force here. */
+  /** Milliseconds within which a change must be in force on this instance. */
   readonly followWithinMs: number;
 }
 
-/**
- * Part of the time in which changes must be in force that lies between rounds;
- * two of them fit in it, and the question that follows.
- */
+/** Interval between rounds as a share of `followWithinMs`; two rounds and a request fit in it. */
 const ROUND_SHARE = 0.35;
-/** Milliseconds for an answer without a copy; some hundred round trips. */
-const TIMEOUT_MS = 700;
-/** A whole copy takes its time on a thin link. */
+/** Time-out of a reply without copies; about a hundred round trips. */
+const REPLY_TIMEOUT_MS = 700;
+/** Time-out of a reply with copies, which are slow over a link of low bandwidth. */
 const COPY_TIMEOUT_MS = 2000;
 /**
- * Part of the time in which changes must be in force after which a second peer
- * is asked where the first has not answered: its stream may have fallen silent.
+ * Share of `followWithinMs` after which a second peer is asked if the first has not
+ * answered, since its stream may have become unresponsive.
  */
 const STANDBY_SHARE = 0.15;
 /**
- * Part of it for which the store's watch is given its time before a peer sends a
- * copy. Two rounds at the most, the standby and this patience leave a tenth for
- * the copy itself.
+ * Share of `followWithinMs` for which the store's watch may bring a change before a copy
+ * is requested from a peer. At most two rounds, the wait for the standby and this delay
+ * leave a tenth for the copy itself.
  */
-const PATIENCE_SHARE = 0.2;
+const COPY_DELAY_SHARE = 0.2;
 /**
- * Milliseconds after an upstream's own word that it leaves before peers are told. A
- * store that works tells all of them within 2 to 12 ms (27 changes at nine gateways).
+ * Delay before peers are notified of an upstream that reported that it leaves. A working
+ * store notifies all of them within 2 to 12 ms (27 changes at nine gateways).
  */
-const TELL_AFTER_MS = 100;
-const COPIES: RequestedCopies = {
+const PROPAGATION_DELAY_MS = 100;
+const VIEW_COPIES: RequestedCopies = {
   configuration: true,
   upstreams: true,
   members: false,
   packed: true,
 };
-const NO_WISHES: RequestedCopies = {
+const NO_COPIES: RequestedCopies = {
   configuration: false,
   upstreams: false,
   members: false,
   packed: true,
 };
 /**
- * Compares with one peer at a time what each knows of configuration and
- * upstreams, so that an instance which the store turns away, or which starts in
- * an outage, has both from its peers. The cost does not grow with the fleet.
+ * Compares configuration and upstreams with one peer per round, so that an instance which
+ * the store refuses, or which starts during an outage, gets both from its peers. The cost
+ * per instance does not grow with the fleet.
  */
 export class GossipExchange {
   private readonly parts: GossipExchangeParts;
   private readonly task: RepeatingTask;
-  private readonly partners: GossipPeerSelector;
-  private readonly knowledge: GossipState;
-  private readonly configurationNews: PendingPeerRevision;
-  private readonly upstreamNews: PendingPeerRevision;
+  private readonly peerSelector: GossipPeerSelector;
+  private readonly state: GossipState;
+  private readonly pendingConfiguration: PendingPeerRevision;
+  private readonly pendingUpstreams: PendingPeerRevision;
   private readonly roundMs: number;
-  private readonly patienceMs: number;
-  private readonly packer = new TextCompressor();
-  private newsTimer: Timer | undefined;
-  private tellTimer: Timer | undefined;
+  private readonly copyDelayMs: number;
+  private readonly compressor = new TextCompressor();
+  private copyTimer: Timer | undefined;
+  private propagationTimer: Timer | undefined;
 
   constructor(parts: GossipExchangeParts) {
     this.parts = parts;
-    this.partners = new GossipPeerSelector(parts);
-    this.knowledge = new GossipState(parts);
+    this.peerSelector = new GossipPeerSelector(parts);
+    this.state = new GossipState(parts);
     this.roundMs = parts.followWithinMs * ROUND_SHARE;
-    this.patienceMs = parts.followWithinMs * PATIENCE_SHARE;
-    this.configurationNews = new PendingPeerRevision(this.patienceMs);
-    this.upstreamNews = new PendingPeerRevision(this.patienceMs);
+    this.copyDelayMs = parts.followWithinMs * COPY_DELAY_SHARE;
+    this.pendingConfiguration = new PendingPeerRevision(this.copyDelayMs);
+    this.pendingUpstreams = new PendingPeerRevision(this.copyDelayMs);
     this.task = new RepeatingTask(parts.clock, parts.random, async () => {
       await this.runRound();
       return this.roundMs;
@@ -112,100 +109,110 @@
 
   stop(): void {
     this.task.stop();
-    this.newsTimer?.cancel();
-    this.tellTimer?.cancel();
+    this.copyTimer?.cancel();
+    this.propagationTimer?.cancel();
   }
 
   /**
-   * Has peers told soon of what only instances know: upstreams that leave by their own
-   * word, unless the store says so meanwhile, and requests that crash upstreams. Each peer
-   * that learns of one does the same, so that the news is with 90 instances after some
-   * seven such pauses and not as many rounds.
+   * Schedules an early round to propagate reports that are not in the store: upstreams that
+   * reported that they leave, unless the store lists them as leaving by then, requests that
+   * crash upstreams, and limits. Each peer that receives a new report does the same, so that
+   * 90 instances have it after about seven such delays instead of as many rounds.
    */
   schedulePropagation(): void {
-    if (this.tellTimer) return;
-    this.tellTimer = this.parts.clock.schedule(TELL_AFTER_MS, () => {
-      this.tellTimer = undefined;
-      if (this.knowledge.hasUnstoredReports()) void this.runRound();
-    });
+    if (this.propagationTimer) return;
+    this.propagationTimer = this.parts.clock.schedule(
+      PROPAGATION_DELAY_MS,
+      () => {
+        this.propagationTimer = undefined;
+        if (this.state.hasUnstoredReports()) void this.runRound();
+      },
+    );
   }
 
-  /** Asks one peer, or the seeds while no peer is known. */
+  /** Asks one peer, or the seeds while no peer is known; every few rounds a seed as well. */
   async runRound(): Promise<void> {
-    const {addresses, standby} = this.partners.chooseForRound();
-    const wishes = this.listWishes();
-    const asked = addresses.map((address, index) =>
+    const {addresses, standby} = this.peerSelector.chooseForRound();
+    const requestedCopies = this.getDueCopies();
+    const pendingReplies = addresses.map((address, index) =>
       index === 0
-        ? this.askWithStandby(address, standby, wishes)
-        : this.askPeer(address, NO_WISHES),
+        ? this.askWithStandby(address, standby, requestedCopies)
+        : this.askPeer(address, NO_COPIES),
     );
-    // A peer that is gone must not hold up the next round.
+    // An unresponsive peer must not delay the next round.
     await Promise.race([
-      Promise.all(asked),
+      Promise.all(pendingReplies),
       waitFor(this.parts.clock, this.roundMs),
     ]);
   }
 
   /**
-   * Compares with a peer at once and takes what it knows beyond this instance.
+   * Compares with a peer at once and applies what it has and this instance lacks.
    *
-   * @param which One of another failure domain, or another one beside it.
+   * @param which `far` for a peer of another failure domain; `near` for a different peer,
+   * preferably of the same failure domain.
+   * @returns The kind of peer that answered, or `none`.
    */
   async refreshView(which: 'far' | 'near'): Promise<PeerReach> {
     const {membership} = this.parts;
-    const partners = this.partners.chooseForRefresh();
-    const peer = partners[which];
-    if (!peer || !(await this.askPeer(peer.address, COPIES))) return 'none';
+    const peers = this.peerSelector.chooseForRefresh();
+    const peer = peers[which];
+    if (!peer || !(await this.askPeer(peer.address, VIEW_COPIES)))
+      return 'none';
     const own = membership.getSelf().failureDomain;
-    const isFar = peer.failureDomain !== own || !partners.hasOtherDomains;
+    const isFar = peer.failureDomain !== own || !peers.hasOtherDomains;
     return isFar ? 'far' : 'near';
   }
 
-  /** Answers a peer's question. */
-  answerCopy(asked: Extract<PeerRequest, {type: 'copy'}>): PeerReply {
+  /** Answers a peer's `copy` request with the copies that it asked for and lacks. */
+  answerCopy(request: Extract<PeerRequest, {type: 'copy'}>): PeerReply {
     const {routeHolder, registry, membership} = this.parts;
-    const {wishes} = asked;
-    const isConfigurationNews =
-      routeHolder.getRevision() > asked.configurationRevision;
-    const isDigestOther = registry.getDigest() !== asked.digest;
-    this.knowledge.recordMessage(asked, asked.self.address);
-    // Whoever asks may know more than the one that is asked.
-    if (!asked.isLeaving) {
-      this.recordNews({...asked, isDigestOther});
-      this.scheduleNewsCheck(asked.self.address);
+    const {wishes: requestedCopies} = request;
+    const hasNewerConfiguration =
+      routeHolder.getRevision() > request.configurationRevision;
+    const isDigestOther = registry.getDigest() !== request.digest;
+    this.state.recordMessage(request, request.self.address);
+    // The requesting peer may have newer state than this instance.
+    if (!request.isLeaving) {
+      this.recordPeerRevisions({...request, isDigestOther});
+      this.scheduleCopyRequest(request.self.address);
     }
-    const areUpstreamsNews =
-      registry.getStoreRevision() > asked.storeRevision && isDigestOther;
+    const hasNewerUpstreams =
+      registry.getStoreRevision() > request.storeRevision && isDigestOther;
     return {
       type: 'copy',
-      ...this.knowledge.createMessage(),
-      viewOffsetsMs: this.knowledge.computeViewOffsets(
-        this.parts.clock.getNow(),
-      ),
+      ...this.state.createMessage(),
+      viewOffsetsMs: this.state.computeViewOffsets(this.parts.clock.getNow()),
       isDigestOther,
       configurationText:
-        wishes.configuration && isConfigurationNews
-          ? this.packer.encodeText(routeHolder.getText(), wishes.packed)
+        requestedCopies.configuration && hasNewerConfiguration
+          ? this.compressor.encodeText(
+              routeHolder.getText(),
+              requestedCopies.packed,
+            )
           : undefined,
       upstreams:
-        wishes.upstreams && areUpstreamsNews
+        requestedCopies.upstreams && hasNewerUpstreams
           ? registry.createCopy()
           : undefined,
-      members: wishes.members
+      members: requestedCopies.members
         ? [membership.getSelf(), ...membership.listPeers()]
         : undefined,
     };
   }
 
-  private listWishes(): RequestedCopies {
+  private getDueCopies(): RequestedCopies {
     const {routeHolder, registry, membership, clock} = this.parts;
     const nowMs = clock.getNow();
     return {
-      configuration: this.configurationNews.isDue(
+      configuration: this.pendingConfiguration.isDue(
         routeHolder.getRevision(),
         nowMs,
       ),
-      upstreams: this.upstreamNews.isDue(registry.getStoreRevision(), nowMs),
+      upstreams: this.pendingUpstreams.isDue(
+        registry.getStoreRevision(),
+        nowMs,
+      ),
       members: membership.listPeers().length === 0,
       packed: true,
     };
@@ -214,25 +221,25 @@
   private async askWithStandby(
     address: string,
     standby: string | undefined,
-    wishes: RequestedCopies,
+    requestedCopies: RequestedCopies,
   ): Promise<void> {
     const {clock, followWithinMs} = this.parts;
-    const asked = this.askPeer(address, wishes);
+    const firstReply = this.askPeer(address, requestedCopies);
     if (standby === undefined) {
-      await asked;
+      await firstReply;
       return;
     }
     const isAnswered = await Promise.race([
-      asked,
+      firstReply,
       waitFor(clock, followWithinMs * STANDBY_SHARE).then(() => false),
     ]);
-    if (!isAnswered) await this.askPeer(standby, wishes);
+    if (!isAnswered) await this.askPeer(standby, requestedCopies);
   }
 
-  // Resolves to whether the peer has answered.
+  // Resolves to true if the peer answered.
   private async askPeer(
     address: string,
-    wishes: RequestedCopies,
+    requestedCopies: RequestedCopies,
   ): Promise<boolean> {
     const {clock, link, membership, registry} = this.parts;
     const askedAtMs = clock.getNow();
@@ -241,11 +248,13 @@
         address,
         {
           type: 'copy',
-          ...this.knowledge.createMessage(),
+          ...this.state.createMessage(),
           digest: registry.getDigest(),
-          wishes,
+          wishes: requestedCopies,
         },
-        wishes.configuration || wishes.upstreams ? COPY_TIMEOUT_MS : TIMEOUT_MS,
+        requestedCopies.configuration || requestedCopies.upstreams
+          ? COPY_TIMEOUT_MS
+          : REPLY_TIMEOUT_MS,
       )
       .catch((): undefined => undefined);
     if (reply?.type !== 'copy') {
@@ -253,24 +262,24 @@
       return false;
     }
     const source = `peer ${address}`;
-    this.knowledge.recordMessage(reply, address);
-    this.recordNews(reply);
-    if (wishes.upstreams && !reply.isDigestOther) {
-      this.upstreamNews.removeRevision();
+    this.state.recordMessage(reply, address);
+    this.recordPeerRevisions(reply);
+    if (requestedCopies.upstreams && !reply.isDigestOther) {
+      this.pendingUpstreams.removeRevision();
     }
-    this.scheduleNewsCheck(address);
+    this.scheduleCopyRequest(address);
     if (reply.configurationText !== undefined) {
       this.offerConfiguration(reply.configurationText, source);
     }
-    const isCopied =
+    const isCopyApplied =
       reply.upstreams !== undefined &&
       registry.applyCopy(reply.upstreams, source);
-    this.knowledge.recordComparison(reply, {
+    this.state.recordComparison(reply, {
       askedAtMs,
-      isCopyApplied: isCopied,
+      isCopyApplied,
       source,
     });
-    // Its upstreams are the same without those that are missing here.
+    // The digests are equal and exclude missing entries, so the peer lacks these too.
     if (!reply.isProvisional && !reply.isDigestOther) {
       registry.endGraceOfMissing(source);
     }
@@ -278,10 +287,10 @@
     return true;
   }
 
-  private offerConfiguration(packed: CompressedText, source: string): void {
+  private offerConfiguration(compressed: CompressedText, source: string): void {
     const {routeHolder, logger} = this.parts;
     try {
-      routeHolder.offerText(decodeText(packed), source);
+      routeHolder.offerText(decodeText(compressed), source);
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
       const inForce = routeHolder.getRevision();
@@ -289,36 +298,37 @@
     }
   }
 
-  // What one peer has and the watch has not brought in its time is asked for at
-  // once, from the peer that has it: the next round might meet one that is gone.
-  private scheduleNewsCheck(address: string): void {
-    if (this.newsTimer || !this.hasNews()) return;
+  // If the watch does not bring a peer's newer revision in time, the copy is requested
+  // from that peer at once: the next round might choose an unresponsive one.
+  private scheduleCopyRequest(address: string): void {
+    if (this.copyTimer || !this.hasPendingRevision()) return;
     const {clock} = this.parts;
-    this.newsTimer = clock.schedule(this.patienceMs, () => {
-      this.newsTimer = undefined;
-      if (this.hasNews()) void this.askPeer(address, this.listWishes());
+    this.copyTimer = clock.schedule(this.copyDelayMs, () => {
+      this.copyTimer = undefined;
+      if (this.hasPendingRevision())
+        void this.askPeer(address, this.getDueCopies());
     });
   }
 
-  private hasNews(): boolean {
+  private hasPendingRevision(): boolean {
     const {routeHolder, registry} = this.parts;
     return (
-      this.configurationNews.isNewerThan(routeHolder.getRevision()) ||
-      this.upstreamNews.isNewerThan(registry.getStoreRevision())
+      this.pendingConfiguration.isNewerThan(routeHolder.getRevision()) ||
+      this.pendingUpstreams.isNewerThan(registry.getStoreRevision())
     );
   }
 
-  private recordNews(peer: PeerRevisions): void {
+  private recordPeerRevisions(peer: PeerRevisions): void {
     const {routeHolder, registry, clock} = this.parts;
     const nowMs = clock.getNow();
-    this.configurationNews.recordRevision(
+    this.pendingConfiguration.recordRevision(
       peer.configurationRevision,
       routeHolder.getRevision(),
       nowMs,
     );
-    // One in its grace sends no copy of its upstreams.
+    // A peer in its grace period sends no copy of its upstreams.
     if (!peer.isDigestOther || peer.isProvisional) return;
-    this.upstreamNews.recordRevision(
+    this.pendingUpstreams.recordRevision(
       peer.storeRevision,
       registry.getStoreRevision(),
       nowMs,
--- a/packages/gateway/src/gossip-peer-selector.test.ts
+++ b/packages/gateway/src/gossip-peer-selector.test.ts
@@ -13,7 +13,7 @@
   peers: readonly PeerRecord[],
   reachable: readonly PeerRecord[] = peers,
 ) {
-  const partners = new GossipPeerSelector({
+  const selector = new GossipPeerSelector({
     membership: {
       getSelf: () => SELF,
       listPeers: () => peers,
@@ -22,11 +22,11 @@
     seeds: [],
     random: getZero,
   });
-  const {far, near, hasOtherDomains} = partners.chooseForRefresh();
+  const {far, near, hasOtherDomains} = selector.chooseForRefresh();
   return {far: far?.id, near: near?.id, hasOtherDomains};
 }
 
-test('a refresh asks a peer of another failure domain and one of the own', t => {
+test('a refresh asks a peer of another failure domain and one of the same', t => {
   const [a, b, c] = [
     createPeer('a1', 'a'),
     createPeer('b1', 'b'),
--- a/packages/gateway/src/store-view.test.ts
+++ b/packages/gateway/src/store-view.test.ts
@@ -4,16 +4,16 @@
 import {createSeededRandom} from '@hollowstack/local-system';
 import {ViewFleet} from './test-utils/view-fleet.ts';
 
-/** Milliseconds in which a change must be in force. */
+/** Time within which a change must be in force. */
 const FOLLOW_WITHIN_MS = 2000;
-/** Milliseconds after which a fleet has its watchers and streams. */
+/** Time after which a fleet has its watches and streams. */
 const START_MS = 8000;
-/** Milliseconds after a harm within which changes are made. */
+/** Maximum time between a fault and the change. */
 const CHANGE_WITHIN_MS = 4000;
 const SEED_COUNT = 40;
 
-/** What is harmed in one play, drawn by its seed. */
-const HARMS = [
+/** Faults, of which each seed injects one. */
+const FAULTS = [
   'store-connections-of-one',
   'store-connections-of-all',
   'streams',
@@ -21,42 +21,46 @@
   'everything',
   'store-refuses-one',
 ] as const;
-type Harm = (typeof HARMS)[number];
+type Fault = (typeof FAULTS)[number];
 
-function applyHarm(fleet: ViewFleet, harm: Harm, random: () => number): void {
+function applyFault(
+  fleet: ViewFleet,
+  fault: Fault,
+  random: () => number,
+): void {
   const {instances} = fleet;
-  const one = instances[Math.floor(random() * instances.length)];
-  const share = harm === 'half-of-everything' ? 0.5 : 1;
-  const isStruck = () => random() < share;
-  if (harm === 'store-connections-of-one') {
-    one.client.silenceConnections(isStruck);
+  const target = instances[Math.floor(random() * instances.length)];
+  const share = fault === 'half-of-everything' ? 0.5 : 1;
+  const isAffected = () => random() < share;
+  if (fault === 'store-connections-of-one') {
+    target.client.silenceConnections(isAffected);
     return;
   }
-  if (harm === 'store-refuses-one') {
-    one.client.isRefused = true;
+  if (fault === 'store-refuses-one') {
+    target.client.isRefused = true;
     return;
   }
   for (const {client, network} of instances) {
-    if (harm !== 'streams') client.silenceConnections(isStruck);
-    if (harm !== 'store-connections-of-all') {
-      network.silenceConnections(isStruck);
+    if (fault !== 'streams') client.silenceConnections(isAffected);
+    if (fault !== 'store-connections-of-all') {
+      network.silenceConnections(isAffected);
     }
   }
 }
 
-/** What operators and upstreams change after a harm, drawn by its seed. */
+/** Changes by operators and upstreams after a fault; each has a test. */
 const CHANGES = ['leave', 'evacuate', 'evacuate-and-return'] as const;
 type Change = (typeof CHANGES)[number];
 
-interface Play {
+interface Scenario {
   readonly fleet: ViewFleet;
   readonly clock: ManualClock;
   readonly random: () => number;
 }
 
-/** Makes upstream `b` leave, or evacuates its domain; returns what is late. */
+/** Makes upstream `b` leave, or evacuates its domain; returns the instances that are late. */
 async function runChange(
-  {fleet, clock, random}: Play,
+  {fleet, clock, random}: Scenario,
   change: Change,
 ): Promise<string[]> {
   const {store} = fleet;
@@ -77,11 +81,11 @@
   return [...late, ...idle.map(({id}) => `${id} does not send again`)];
 }
 
-/** Plays one seed and returns what did not hold. */
+/** Runs the scenario of one seed and returns the failures. */
 async function runSeed(seed: number, change: Change): Promise<string[]> {
   const random = createSeededRandom(seed);
   const clock = new ManualClock();
-  // Nine instances all watch the store; of 24 in three domains 15 follow others.
+  // Nine instances all watch the store; of 24 in three domains 15 follow a relay.
   const count = random() < 0.5 ? 9 : 24;
   const fleet = new ViewFleet({
     clock,
@@ -96,12 +100,12 @@
   try {
     await fleet.start();
     await clock.advance(START_MS + random() * CHANGE_WITHIN_MS);
-    const harm = HARMS[Math.floor(random() * HARMS.length)];
-    applyHarm(fleet, harm, random);
+    const fault = FAULTS[Math.floor(random() * FAULTS.length)];
+    applyFault(fleet, fault, random);
     await clock.advance(random() * CHANGE_WITHIN_MS);
     const late = await runChange({fleet, clock, random}, change);
     return late.map(
-      each => `seed ${seed}, ${count}, ${harm}, ${change}: ${each}`,
+      each => `seed ${seed}, ${count}, ${fault}, ${change}: ${each}`,
     );
   } finally {
     fleet.stop();
@@ -110,7 +114,7 @@
 }
 
 for (const change of CHANGES) {
-  test(`a change (${change}) is in force at all instances in its time, whatever falls silent`, async () => {
+  test(`a change (${change}) is in force at all instances in time, whichever connections become unresponsive`, async () => {
     const late: string[] = [];
     for (let seed = 1; seed <= SEED_COUNT; seed++) {
       late.push(...(await runSeed(seed, change)));
--- a/packages/gateway/src/test-utils/view-store.ts
+++ b/packages/gateway/src/test-utils/view-store.ts
@@ -7,21 +7,21 @@
   WatchEvent,
 } from '@hollowstack/store';
 
-/** Prefix of the upstreams' registrations. */
+/** Key prefix of the upstreams' registrations. */
 export const UPSTREAM_PREFIX = 'upstreams/';
-/** Prefix of what operators write. */
+/** Key prefix of everything that operators write. */
 export const OPERATOR_PREFIX = 'operators/';
 /** Key of the configuration. */
 export const CONFIGURATION_KEY = 'operators/configuration';
-/** Prefix of evacuations. */
+/** Key prefix of evacuations. */
 export const EVACUATION_PREFIX = 'operators/evacuated/';
 
-/** The content of a store and its history, shared by the instances of a fleet. */
+/** An in-memory store with its history, shared by the instances of a fleet. */
 export class ViewStore {
   private revision = 1;
   private readonly keyValues = new Map<string, KeyValue>();
   private readonly events: WatchEvent[] = [];
-  private readonly waiting = new Set<() => void>();
+  private readonly waiters = new Set<() => void>();
 
   putUpstream(id: string, value: 'ready' | 'leaving'): void {
     this.put(UPSTREAM_PREFIX + id, value);
@@ -77,11 +77,11 @@
   waitForChange(signal: AbortSignal): Promise<void> {
     return new Promise(resolve => {
       const wake = () => {
-        this.waiting.delete(wake);
+        this.waiters.delete(wake);
         signal.removeEventListener('abort', wake);
         resolve();
       };
-      this.waiting.add(wake);
+      this.waiters.add(wake);
       signal.addEventListener('abort', wake, {once: true});
     });
   }
@@ -89,7 +89,7 @@
   private addEvent(event: Omit<WatchEvent, 'modRevision'>): number {
     this.revision += 1;
     this.events.push({...event, modRevision: this.revision});
-    for (const wake of [...this.waiting]) wake();
+    for (const wake of [...this.waiters]) wake();
     return this.revision;
   }
 }
