--- a/packages/gateway/src/crash-reporter.ts
+++ b/packages/gateway/src/crash-reporter.ts
@@ -34,7 +34,9 @@
     const {request, upstream} = sent;
     match(outcome)
       .with({type: 'answered'}, () => quarantine.recordServed(request))
-      .with({type: 'failed', isBroken: true}, () => this.recordBroken(sent))
+      .with({type: 'failed', hasLostConnection: true}, () =>
+        this.recordBroken(sent),
+      )
       // The upstream lived to tell of its failure.
       .with({type: 'failed'}, ({deliverFailure}) => {
         if (deliverFailure) quarantine.recordServed(request);
@@ -42,7 +44,7 @@
       .with({type: 'unsent', isRefused: true}, () =>
         quarantine.recordRefusedConnection(upstream.id),
       )
-      .with({type: 'not-run', isOtherUpstream: true}, () =>
+      .with({type: 'not-run', isMisdirected: true}, () =>
         quarantine.recordRefusedConnection(upstream.id),
       )
       .otherwise(() => {});
