--- a/packages/gateway/src/answer-writer.ts
+++ b/packages/gateway/src/answer-writer.ts
@@ -3,8 +3,8 @@
 import {listEndToEndHeaders} from './header-list.ts';
 import type {RequestProtocol} from './request-protocol.ts';
 
-const NONE: ReadonlySet<string> = new Set();
-const LENGTH: ReadonlySet<string> = new Set(['content-length']);
+const NO_HEADERS: ReadonlySet<string> = new Set();
+const LENGTH_HEADER: ReadonlySet<string> = new Set(['content-length']);
 /**
  * Milliseconds after which to come back where the refusal knows nothing
  * better.
@@ -15,7 +15,7 @@
  * Returns whether an answer ends with its connection and nothing else, so that
  * nobody can tell whether it is whole.
  */
-export function isUnframed(head: IncomingMessage): boolean {
+export function isCloseDelimited(head: IncomingMessage): boolean {
   return (
     head.headers['content-length'] === undefined &&
     head.headers['transfer-encoding'] === undefined
@@ -23,7 +23,7 @@
 }
 
 // What came without a length must not be framed as complete here.
-function setCloseAsEnd(outgoing: ServerResponse): void {
+function setCloseDelimited(outgoing: ServerResponse): void {
   outgoing.useChunkedEncodingByDefault = false;
   outgoing.shouldKeepAlive = false;
 }
@@ -33,8 +33,8 @@
   outgoing: ServerResponse,
   head: IncomingMessage,
 ): void {
-  const headers = listEndToEndHeaders(head.rawHeaders, NONE);
-  if (isUnframed(head)) setCloseAsEnd(outgoing);
+  const headers = listEndToEndHeaders(head.rawHeaders, NO_HEADERS);
+  if (isCloseDelimited(head)) setCloseDelimited(outgoing);
   outgoing.writeHead(head.statusCode!, head.statusMessage, headers);
 }
 
@@ -44,11 +44,11 @@
   head: IncomingMessage,
   body: Buffer,
 ): void {
-  const headers = listEndToEndHeaders(head.rawHeaders, LENGTH);
+  const headers = listEndToEndHeaders(head.rawHeaders, LENGTH_HEADER);
   const status = head.statusCode!;
   const mayHaveBody = status !== 204 && status !== 304;
-  if (isUnframed(head) && mayHaveBody) {
-    setCloseAsEnd(outgoing);
+  if (isCloseDelimited(head) && mayHaveBody) {
+    setCloseDelimited(outgoing);
     outgoing.writeHead(status, head.statusMessage, headers);
     outgoing.end(body);
     return;
--- a/packages/gateway/src/attempt-runner.ts
+++ b/packages/gateway/src/attempt-runner.ts
@@ -40,21 +40,21 @@
 }
 
 /** Connections that may fail to stand before a request is refused. */
-const MAX_UNSENT = 8;
+const MAX_UNSENT_ATTEMPTS = 8;
 /** Milliseconds without an event after which the engine of a stream counts as silent. */
-const STREAM_SILENCE_MS = 1500;
+const STREAM_INACTIVITY_TIMEOUT_MS = 1500;
 /**
  * Milliseconds of silence that no plain upstream is blamed for; several
  * times the usual work.
  */
-const MIN_SILENCE_MS = 100;
+const MIN_INACTIVITY_TIMEOUT_MS = 100;
 /** Times of what is usual, and share of the objective, for a plain answer. */
-const SILENCE_FACTOR = 2.5;
+const MEAN_LATENCY_FACTOR = 2.5;
 /**
  * Share of the objective after which a silent plain upstream is given up;
  * what is left suffices for another one.
  */
-const SILENCE_SHARE = 0.6;
+const OBJECTIVE_SHARE = 0.6;
 
 /** What the attempts of a request need beside the request. */
 export interface AttemptOptions {
@@ -84,16 +84,16 @@
    * @throws InputsLostError where the stages have to run again, HollowstackError where the
    * request ends without an answer.
    */
-  async run(request: RoutedRequest, needs: AttemptOptions): Promise<void> {
+  async run(request: RoutedRequest, options: AttemptOptions): Promise<void> {
     const {quarantine, isolatedAttempts} = this.parts;
     if (!quarantine.isIsolated(request))
-      return this.runAttempts(request, needs);
+      return this.runAttempts(request, options);
     const release = await isolatedAttempts.acquire(
       request.service,
       request.signal,
     );
     try {
-      await this.runAttempts(request, needs);
+      await this.runAttempts(request, options);
     } finally {
       release();
     }
@@ -101,20 +101,20 @@
 
   private async runAttempts(
     request: RoutedRequest,
-    needs: AttemptOptions,
+    options: AttemptOptions,
   ): Promise<void> {
     const {retryBudget, quarantine} = this.parts;
-    const {inputs, excluded} = needs;
+    const {inputs, excluded} = options;
     let unsentCount = 0;
     for (;;) {
       request.signal.throwIfAborted();
       const upstream =
         (await this.acquireOnlyUpstream(request)) ??
-        (await this.chooseUpstream(request, needs));
+        (await this.chooseUpstream(request, options));
       request.signal.throwIfAborted();
       quarantine.checkRequest(request);
-      if (!upstream) throw this.createNoneLeft(request);
-      const outcome = await this.attemptOnce(request, upstream.id, needs);
+      if (!upstream) throw this.createNoneLeftError(request);
+      const outcome = await this.attemptOnce(request, upstream.id, options);
       if (outcome.type === 'answered') return;
       this.logFailure(request, upstream.id, outcome);
       request.signal.throwIfAborted();
@@ -127,7 +127,7 @@
       excluded.add(upstream.id);
       if (isUnsent(outcome)) {
         unsentCount += 1;
-        if (unsentCount < MAX_UNSENT) continue;
+        if (unsentCount < MAX_UNSENT_ATTEMPTS) continue;
       } else if (this.mayRetry(request, outcome)) {
         if (!inputs?.isReleased) continue;
         throw new InputsLostError(outcome.reason, request);
@@ -136,11 +136,13 @@
         outcome.deliverFailure();
         return;
       }
-      const shortage = this.parts.pool.findShortage(request.facts.service);
+      const unavailability = this.parts.pool.findShortage(
+        request.facts.service,
+      );
       throw createUnavailableError(
         request,
         outcome.reason,
-        shortage?.retryAfterMs,
+        unavailability?.retryAfterMs,
       );
     }
   }
@@ -151,25 +153,29 @@
     {promptParts, inputBytesByDomain, excluded}: AttemptOptions,
   ): Promise<UpstreamAssignment | undefined> {
     const {pool, quarantine, chooser} = this.parts;
-    const need = {
+    const choiceOptions = {
       promptParts,
       inputBytesByDomain,
       excluded,
       isFinal: true,
     };
-    if (!quarantine.isIsolated(request)) return chooser.choose(request, need);
+    if (!quarantine.isIsolated(request))
+      return chooser.choose(request, choiceOptions);
     const {service} = request;
     const busy = new Set([...excluded, ...pool.listBusy(service)]);
     const hasIdle = pool.listCandidates(service, busy).length > 0;
-    return chooser.choose(request, hasIdle ? {...need, excluded: busy} : need);
+    return chooser.choose(
+      request,
+      hasIdle ? {...choiceOptions, excluded: busy} : choiceOptions,
+    );
   }
 
-  private createNoneLeft(request: RoutedRequest): HollowstackError {
-    const shortage = this.parts.pool.findShortage(request.facts.service);
+  private createNoneLeftError(request: RoutedRequest): HollowstackError {
+    const unavailability = this.parts.pool.findShortage(request.facts.service);
     return createUnavailableError(
       request,
-      shortage?.reason ?? 'no upstream left',
-      shortage?.retryAfterMs,
+      unavailability?.reason ?? 'no upstream left',
+      unavailability?.retryAfterMs,
     );
   }
 
@@ -235,37 +241,40 @@
         handleFirstEvent?.(firstMs);
       },
       inactivity: {
-        timeoutMs: this.computeSilenceMs(request),
+        timeoutMs: this.computeInactivityTimeoutMs(request),
         handleTimeout: () => {
-          crashReporter.recordUnresponsive(sent);
-          return this.handleSilence(request, upstreamId);
+          crashReporter.recordUnresponsive(sentAttempt);
+          return this.handleInactivity(request, upstreamId);
         },
       },
     });
-    const sent = {request, upstream, sentAtMs: clock.getNow()};
+    const sentAttempt = {request, upstream, sentAtMs: clock.getNow()};
     pool.beginRequest(upstreamId);
     try {
       const outcome = await attempt.run();
       chooser.recordOutcome(request, upstreamId, outcome);
-      crashReporter.recordOutcome(sent, outcome);
+      crashReporter.recordOutcome(sentAttempt, outcome);
       return outcome;
     } finally {
       pool.endRequest(upstreamId);
     }
   }
 
-  private computeSilenceMs(request: RoutedRequest): number {
+  private computeInactivityTimeoutMs(request: RoutedRequest): number {
     const {route, service} = request.facts;
-    if (route.repeatability === 'stream') return STREAM_SILENCE_MS;
-    const usualMs = this.parts.pool.getMeanMs(service) ?? 0;
+    if (route.repeatability === 'stream') return STREAM_INACTIVITY_TIMEOUT_MS;
+    const meanMs = this.parts.pool.getMeanMs(service) ?? 0;
     return Math.max(
-      MIN_SILENCE_MS,
-      SILENCE_FACTOR * usualMs,
-      SILENCE_SHARE * route.objectiveMs,
+      MIN_INACTIVITY_TIMEOUT_MS,
+      MEAN_LATENCY_FACTOR * meanMs,
+      OBJECTIVE_SHARE * route.objectiveMs,
     );
   }
 
-  private handleSilence(request: RoutedRequest, upstreamId: string): boolean {
+  private handleInactivity(
+    request: RoutedRequest,
+    upstreamId: string,
+  ): boolean {
     const {chooser, pool, retryBudget} = this.parts;
     const {route, service} = request.facts;
     chooser.recordUnresponsive(request, upstreamId);
@@ -297,7 +306,8 @@
     outcome: Exclude<AttemptOutcome, {type: 'answered'}>,
   ): void {
     const {requestId, service, workspace} = request.facts;
-    const isBroken = outcome.type === 'failed' && outcome.hasLostConnection;
+    const hasLostConnection =
+      outcome.type === 'failed' && outcome.hasLostConnection;
     this.parts.logger.logEvent('attempt.failed', {
       requestId,
       service,
@@ -306,8 +316,8 @@
       outcome: outcome.type,
       reason: outcome.reason,
       // Tells whether the same request was at each of several crashes.
-      fingerprint: isBroken ? request.getFingerprint() : undefined,
-      workspace: isBroken ? workspace?.name : undefined,
+      fingerprint: hasLostConnection ? request.getFingerprint() : undefined,
+      workspace: hasLostConnection ? workspace?.name : undefined,
     });
   }
 }
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -95,7 +95,7 @@
  * Bytes of a plain answer that are held until it is whole; more would
  * endanger an instance of 250 MB.
  */
-const MAX_KEPT_BYTES = 8 * 1024 * 1024;
+const MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 /** HTTP status: the address belongs to another upstream now. */
 const MISDIRECTED = 421;
 /** HTTP status: a stage result that the request names is gone. */
@@ -105,7 +105,7 @@
 export class Attempt {
   private readonly parts: AttemptParts;
   private readonly startedAtMs: number;
-  private silenceTimer: Timer | undefined;
+  private inactivityTimer: Timer | undefined;
 
   constructor(parts: AttemptParts) {
     this.parts = parts;
@@ -138,7 +138,7 @@
     request.signal.addEventListener('abort', cancelCall, {once: true});
     request.recordRan('unknown');
     request.sentTo.push(upstream.id);
-    this.watchSilence(call);
+    this.watchInactivity(call);
     try {
       const head = await call.response;
       this.recordSignals(head);
@@ -158,17 +158,17 @@
         const isRefused = isConnectionRefused(error);
         return {type: 'unsent', reason, isWithdrawn, isRefused};
       }
-      const isOwnEnd = request.signal.aborted;
-      const isBroken = !call.hasCancelled() && isConnectionLost(error);
+      const isLocallyAborted = request.signal.aborted;
+      const hasLostConnection = !call.hasCancelled() && isConnectionLost(error);
       return {
         type: 'failed',
         reason,
-        isLocallyAborted: isOwnEnd,
-        hasLostConnection: isBroken,
+        isLocallyAborted,
+        hasLostConnection,
       };
     } finally {
       request.signal.removeEventListener('abort', cancelCall);
-      this.silenceTimer?.cancel();
+      this.inactivityTimer?.cancel();
       call.cancel('done');
     }
   }
@@ -185,10 +185,10 @@
   }
 
   // An upstream may die without a word, or run a request and lose its answer.
-  private watchSilence(call: SingleCall): void {
+  private watchInactivity(call: SingleCall): void {
     const {clock, inactivity} = this.parts;
-    this.silenceTimer?.cancel();
-    this.silenceTimer = clock.schedule(inactivity.timeoutMs, () => {
+    this.inactivityTimer?.cancel();
+    this.inactivityTimer = clock.schedule(inactivity.timeoutMs, () => {
       if (inactivity.handleTimeout()) call.cancel('the upstream is silent');
     });
   }
@@ -234,7 +234,7 @@
       };
     }
     const problem = this.findProblem(head);
-    if (problem) return createFailure(problem);
+    if (problem) return createFailedOutcome(problem);
     const isStream =
       request.facts.route.repeatability === 'stream' && isSuccess(status);
     return isStream
@@ -263,12 +263,12 @@
     status: number,
   ): Promise<AttemptOutcome> {
     const {request} = this.parts;
-    const body = await readWholeBody(head, MAX_KEPT_BYTES);
+    const body = await readWholeBody(head, MAX_BUFFERED_BYTES);
     request.recordRan('yes');
     const {outgoing} = request;
     if (status >= 500) {
       return {
-        ...createFailure(`answered ${status}`),
+        ...createFailedOutcome(`answered ${status}`),
         deliverFailure: outgoing.headersSent
           ? undefined
           : () => writeUpstreamAnswer(outgoing, head, body),
@@ -276,10 +276,10 @@
     }
     // A run that continues a stream must be one itself.
     if (outgoing.headersSent) {
-      return createFailure(`answered ${status}`);
+      return createFailedOutcome(`answered ${status}`);
     }
     writeUpstreamAnswer(outgoing, head, body);
-    return {type: 'answered', firstMs: this.getPassedMs()};
+    return {type: 'answered', firstMs: this.getElapsedMs()};
   }
 
   private async deliverStream(
@@ -290,9 +290,9 @@
     request.recordRan('yes');
     let firstMs: number | undefined;
     const relay = new StreamRelay(request, head, () => {
-      this.watchSilence(call);
+      this.watchInactivity(call);
       if (firstMs !== undefined) return;
-      firstMs = this.getPassedMs();
+      firstMs = this.getElapsedMs();
       this.parts.handleFirstEvent(firstMs);
       // The first event proves that the upstream has read its inputs. Keeping
       // them for a possible resumption would occupy their makers for the whole
@@ -300,15 +300,15 @@
       if (this.parts.releasesAtFirstEvent) inputs?.release();
     });
     await relay.run();
-    return {type: 'answered', firstMs: firstMs ?? this.getPassedMs()};
+    return {type: 'answered', firstMs: firstMs ?? this.getElapsedMs()};
   }
 
-  private getPassedMs(): number {
+  private getElapsedMs(): number {
     return this.parts.clock.getNow() - this.startedAtMs;
   }
 }
 
-function createFailure(
+function createFailedOutcome(
   reason: string,
 ): Extract<AttemptOutcome, {type: 'failed'}> {
   return {
--- a/packages/gateway/src/cached-prompts-reader.ts
+++ b/packages/gateway/src/cached-prompts-reader.ts
@@ -26,7 +26,7 @@
  */
 const CONNECT_TIMEOUT_MS = 300;
 /** Milliseconds for the whole list; nobody waits for it. */
-const TIMEOUT_MS = 1000;
+const ANSWER_TIMEOUT_MS = 1000;
 /** Bytes of a list, at most; some 50,000 parts. */
 const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
 
@@ -36,7 +36,7 @@
  */
 export class CachedPromptsReader {
   private readonly parts: CachedPromptsReaderParts;
-  private readonly asked = new Set<string>();
+  private readonly queriedIds = new Set<string>();
 
   constructor(parts: CachedPromptsReaderParts) {
     this.parts = parts;
@@ -48,8 +48,9 @@
    */
   readCachedPrompts(service: string): void {
     for (const engine of this.parts.directory.listEngines(service)) {
-      if (this.asked.has(engine.id) || !this.parts.mayAsk(engine.id)) continue;
-      this.asked.add(engine.id);
+      if (this.queriedIds.has(engine.id) || !this.parts.mayAsk(engine.id))
+        continue;
+      this.queriedIds.add(engine.id);
       void this.readEngine(engine);
     }
   }
@@ -63,7 +64,7 @@
       const {head, body} = await callForWholeAnswer(
         {...request, address, connectTimeoutMs: CONNECT_TIMEOUT_MS},
         clock,
-        {timeoutMs: TIMEOUT_MS, maxBytes: MAX_ANSWER_BYTES},
+        {timeoutMs: ANSWER_TIMEOUT_MS, maxBytes: MAX_ANSWER_BYTES},
       );
       signals.recordAnswer({
         upstream: engine,
@@ -72,9 +73,9 @@
         sentAtMs,
       });
       if (head.statusCode !== 200) return;
-      const kept = protocol.parseCacheContents(body.toString('utf8'));
-      directory.recordCachedParts(id, kept);
-      logger.logEvent('engine.kept', {upstream: id, parts: kept.length});
+      const cachedParts = protocol.parseCacheContents(body.toString('utf8'));
+      directory.recordCachedParts(id, cachedParts);
+      logger.logEvent('engine.kept', {upstream: id, parts: cachedParts.length});
     } catch {
       // Without the answer the engine counts as empty, which costs reading only.
     }
--- a/packages/gateway/src/crash-reporter.ts
+++ b/packages/gateway/src/crash-reporter.ts
@@ -35,7 +35,7 @@
     match(outcome)
       .with({type: 'answered'}, () => quarantine.recordServed(request))
       .with({type: 'failed', hasLostConnection: true}, () =>
-        this.recordBroken(sent),
+        this.recordSuspectedCrash(sent),
       )
       // The upstream lived to tell of its failure.
       .with({type: 'failed'}, ({deliverFailure}) => {
@@ -52,11 +52,15 @@
 
   /** Notes that an upstream has been silent for too long. */
   recordUnresponsive(sent: SentAttempt): void {
-    this.recordBroken(sent);
+    this.recordSuspectedCrash(sent);
   }
 
   // One that leaves ends by plan.
-  private recordBroken({request, upstream, sentAtMs}: SentAttempt): void {
+  private recordSuspectedCrash({
+    request,
+    upstream,
+    sentAtMs,
+  }: SentAttempt): void {
     const {clock, pool, quarantine} = this.parts;
     if (pool.getRecord(upstream.id)?.isLeaving) return;
     const endedAtMs = clock.getNow();
--- a/packages/gateway/src/create-gateway.ts
+++ b/packages/gateway/src/create-gateway.ts
@@ -79,7 +79,7 @@
   const {id, failureDomain} = settings.instance;
   const getNow = () => clock.getNow();
   const lifecycle = new GatewayLifecycle();
-  const holder = new RouteHolder(protocol, logger, clock);
+  const routeHolder = new RouteHolder(protocol, logger, clock);
   const evacuated = new EvacuatedDomains({protocol, logger, clock});
   const registry = new UpstreamRegistry(protocol, logger, clock, evacuated);
 
@@ -97,7 +97,7 @@
     settings,
     environment,
     link,
-    routeHolder: holder,
+    routeHolder,
     registry,
     evacuated,
     suspects,
@@ -149,7 +149,7 @@
     local: coordinator,
   });
   const directory = new EngineDirectory(getNow, id => limiter.isLimited(id));
-  const keptPrompts = new CachedPromptsReader({
+  const cachedPrompts = new CachedPromptsReader({
     clock,
     logger,
     directory,
@@ -169,10 +169,10 @@
     limitedSends,
     assigner: new EngineAssigner({
       link,
-      notes,
+      notifications: notes,
       membership,
-      local: directory,
-      cachedPrompts: keptPrompts,
+      localDirectory: directory,
+      cachedPrompts,
     }),
     freshnessGuard,
     random,
@@ -211,22 +211,22 @@
       policy: settings.policy,
     }),
   });
-  const front = new GatewayRequestHandler({
+  const requestHandler = new GatewayRequestHandler({
     clock,
     logger,
     metrics,
     protocol,
-    holder,
+    routeHolder,
     freshness,
     freshnessGuard,
     lifecycle,
     runner,
   });
   const server = new GatewayServer((incoming, outgoing) => {
-    void front.handle(incoming, outgoing);
+    void requestHandler.handle(incoming, outgoing);
   });
 
-  holder.addListener(table => {
+  routeHolder.addListener(table => {
     coordinator.setConfiguration(table);
     directory.setConfiguration(table);
     pool.setConfiguration(table);
@@ -248,10 +248,10 @@
     clock,
     random,
   });
-  const peerRequests = new GatewayPeerRequestHandler({
+  const peerRequestHandler = new GatewayPeerRequestHandler({
     coordinator,
     directory,
-    cachedPrompts: keptPrompts,
+    cachedPrompts,
     exchange,
     lifecycle,
     relay,
@@ -259,10 +259,10 @@
     granter,
     freshnessGuard,
   });
-  link.setRequestHandler(request => peerRequests.answerRequest(request));
+  link.setRequestHandler(request => peerRequestHandler.answerRequest(request));
 
   metrics.setGauge('hollowstack_routes_revision', {}, () =>
-    holder.getRevision(),
+    routeHolder.getRevision(),
   );
   metrics.setGauge('hollowstack_requests_in_progress', {}, () =>
     lifecycle.countInProgress(),
@@ -315,7 +315,7 @@
     logger,
     metrics,
     lifecycle,
-    holder,
+    routeHolder,
     watchHub: view.watchHub,
     followers: view.followers,
     freshnessGuard,
--- a/packages/gateway/src/engine-assigner.ts
+++ b/packages/gateway/src/engine-assigner.ts
@@ -11,10 +11,10 @@
 /** What the assigner works with. */
 export interface EngineAssignerParts {
   readonly link: PeerLink;
-  readonly notes: NotificationQueue;
+  readonly notifications: NotificationQueue;
   readonly membership: Membership;
   /** This instance's own directory. */
-  readonly local: EngineDirectory;
+  readonly localDirectory: EngineDirectory;
   readonly cachedPrompts: CachedPromptsReader;
 }
 
@@ -39,11 +39,11 @@
   async askForEngine(
     request: AssignmentRequest,
   ): Promise<UpstreamAssignment | undefined> {
-    const {link, local, membership} = this.parts;
+    const {link, localDirectory, membership} = this.parts;
     const coordinator = chooseCoordinator(membership);
     if (!coordinator) {
       this.parts.cachedPrompts.readCachedPrompts(request.service);
-      return local.reserveEngine(request);
+      return localDirectory.reserveEngine(request);
     }
     const reply = await link
       .sendRequest(
@@ -52,7 +52,8 @@
         ASSIGN_TIMEOUT_MS,
       )
       .catch((): undefined => undefined);
-    if (reply?.type !== 'assigned') return local.reserveEngine(request);
+    if (reply?.type !== 'assigned')
+      return localDirectory.reserveEngine(request);
     const {upstreamId, failureDomain} = reply;
     if (upstreamId === undefined || failureDomain === undefined)
       return undefined;
@@ -61,12 +62,12 @@
 
   /** Tells the coordinator how far a request is. */
   recordProgress(progress: AssignmentProgress): void {
-    const {notes, local, membership} = this.parts;
-    local.recordProgress(progress);
+    const {notifications, localDirectory, membership} = this.parts;
+    localDirectory.recordProgress(progress);
     const coordinator = chooseCoordinator(membership);
     if (!coordinator) return;
     // A coordinator that is gone has forgotten the assignment as well.
-    notes
+    notifications
       .sendNotification(coordinator.address, {
         type: 'assignment-progress',
         progress,
--- a/packages/gateway/src/gateway-lifecycle.ts
+++ b/packages/gateway/src/gateway-lifecycle.ts
@@ -7,8 +7,8 @@
 /** The gateway's state, and the answers it still owes. */
 export class GatewayLifecycle {
   private state: GatewayState = 'starting';
-  private readonly open = new Set<ServerResponse>();
-  private readonly refusals = new Set<() => void>();
+  private readonly openResponses = new Set<ServerResponse>();
+  private readonly rejectHandlers = new Set<() => void>();
   private readonly startWaiters: Array<() => void> = [];
 
   /** Changes the state; whoever waits for the end of the start goes on. */
@@ -47,32 +47,32 @@
   }
 
   countInProgress(): number {
-    return this.open.size;
+    return this.openResponses.size;
   }
 
   /** Notes that a request has begun; the returned function ends it. */
   beginRequest(outgoing: ServerResponse): () => void {
-    this.open.add(outgoing);
-    return () => this.open.delete(outgoing);
+    this.openResponses.add(outgoing);
+    return () => this.openResponses.delete(outgoing);
   }
 
   /**
    * Adds a function that refuses a request if nothing of it was sent to an
    * upstream yet; the returned function removes it.
    */
-  addRejectHandler(refuse: () => void): () => void {
-    this.refusals.add(refuse);
-    return () => this.refusals.delete(refuse);
+  addRejectHandler(rejectHandler: () => void): () => void {
+    this.rejectHandlers.add(rejectHandler);
+    return () => this.rejectHandlers.delete(rejectHandler);
   }
 
   /** Refuses every request of which nothing was sent to an upstream yet. */
   rejectUnsent(): void {
-    for (const refuse of [...this.refusals]) refuse();
+    for (const rejectHandler of [...this.rejectHandlers]) rejectHandler();
   }
 
   /** Has each answer that has not begun close its connection. */
   closeConnectionsAfterAnswers(): void {
-    for (const outgoing of this.open) {
+    for (const outgoing of this.openResponses) {
       if (!outgoing.headersSent) outgoing.setHeader('Connection', 'close');
     }
   }
--- a/packages/gateway/src/gateway-peer-request-handler.ts
+++ b/packages/gateway/src/gateway-peer-request-handler.ts
@@ -27,7 +27,7 @@
 }
 
 /** Questions that are decided by the view of the store. */
-const DECIDED_BY_VIEW: ReadonlySet<PeerRequest['type']> = new Set([
+const STORE_VIEW_REQUESTS: ReadonlySet<PeerRequest['type']> = new Set([
   'stage-job',
   'stage-admit',
   'assign',
@@ -51,7 +51,10 @@
     const {coordinator, directory, exchange, cachedPrompts, lifecycle, relay} =
       this.parts;
     const {freshnessGuard} = this.parts;
-    if (DECIDED_BY_VIEW.has(request.type) && freshnessGuard.isRefreshDue()) {
+    if (
+      STORE_VIEW_REQUESTS.has(request.type) &&
+      freshnessGuard.isRefreshDue()
+    ) {
       await freshnessGuard.refresh();
     }
     return match<PeerRequest, Promise<PeerReply> | PeerReply>(request)
@@ -95,7 +98,7 @@
         return {type: 'limited-send', decision};
       })
       .with({type: 'notes'}, ({notes}) => {
-        for (const note of notes) this.applyNote(note);
+        for (const notification of notes) this.applyNotification(notification);
         return {type: 'done'};
       })
       .with({type: 'copy'}, asked => exchange.answerCopy(asked))
@@ -113,9 +116,9 @@
       }));
   }
 
-  private applyNote(note: PeerNotification): void {
+  private applyNotification(notification: PeerNotification): void {
     const {coordinator, directory} = this.parts;
-    match<PeerNotification, void>(note)
+    match<PeerNotification, void>(notification)
       .with({type: 'stage-end'}, ({requestId}) =>
         coordinator.endRequest(requestId),
       )
--- a/packages/gateway/src/gateway-request-handler.ts
+++ b/packages/gateway/src/gateway-request-handler.ts
@@ -30,7 +30,7 @@
   readonly logger: EventLogger;
   readonly metrics: MetricsRegistry;
   readonly protocol: RequestProtocol;
-  readonly holder: RouteHolder;
+  readonly routeHolder: RouteHolder;
   readonly freshness: FreshnessTable;
   readonly freshnessGuard: FreshnessGuard;
   readonly lifecycle: GatewayLifecycle;
@@ -42,21 +42,21 @@
  * configuration. Outages of the store take seconds, and a caller heeds no more
  * than a third of its time; 2 s is that third for the shorter generations.
  */
-const NOT_READY_RETRY_MS = 2000;
+const NOT_READY_RETRY_AFTER_MS = 2000;
 /**
  * Milliseconds of an instance's life in which a request waits for its
  * configuration and coordinator instead of being refused. Both are there some
  * 300 ms after the start where the store or a peer answers; a caller that is
  * refused comes back 2 s later.
  */
-const START_HOLD_MS = 800;
+const MAX_START_WAIT_MS = 800;
 /** Refusals that say that this instance does not know what the request names. */
 const UNKNOWN_KINDS: ReadonlySet<ErrorKind> = new Set([
   'not-found',
   'unauthorized',
 ]);
 /** Another instance takes the request at once. */
-const ELSEWHERE_RETRY_MS = 50;
+const OTHER_INSTANCE_RETRY_AFTER_MS = 50;
 const DRAW_SCALE = 0x1_0000_0000;
 
 /** A request that the configuration allows. */
@@ -70,7 +70,7 @@
 export class GatewayRequestHandler {
   private readonly parts: GatewayRequestHandlerParts;
   private readonly startedAtMs: number;
-  private readonly callerAges = new RequestAgeEstimator();
+  private readonly ageEstimator = new RequestAgeEstimator();
 
   constructor(parts: GatewayRequestHandlerParts) {
     this.parts = parts;
@@ -91,19 +91,19 @@
     try {
       const {clock} = this.parts;
       const arrivedAtMs = clock.getNow();
-      const holdMs = this.startedAtMs + START_HOLD_MS - arrivedAtMs;
-      await lifecycle.waitForStart(clock, holdMs);
+      const maxWaitMs = this.startedAtMs + MAX_START_WAIT_MS - arrivedAtMs;
+      await lifecycle.waitForStart(clock, maxWaitMs);
       const {table, ...admitted} = await this.admitByFreshView(incoming);
       if (requestId === undefined) {
         throw new HollowstackError('bad-request', 'the request has no id');
       }
       const {limits} = table.configuration;
       const body = await readRequestBody(incoming, limits);
-      this.checkOpen();
+      this.checkAccepting();
       const {route, workspace} = admitted;
-      const givenMs = this.readDeadlineMs(incoming) ?? route.timeoutMs;
-      const ageMs = this.callerAges.computeAgeMs(route, givenMs);
-      this.callerAges.recordDeadline(route, givenMs);
+      const callerDeadlineMs = this.readDeadlineMs(incoming) ?? route.timeoutMs;
+      const ageMs = this.ageEstimator.computeAgeMs(route, callerDeadlineMs);
+      this.ageEstimator.recordDeadline(route, callerDeadlineMs);
       await this.runRequest(
         new RoutedRequest(
           {
@@ -112,7 +112,8 @@
             service: chooseTarget(route, computeDraw(requestId)),
             workspace,
             arrivedAtMs,
-            deadlineAtMs: arrivedAtMs + Math.min(givenMs, route.timeoutMs),
+            deadlineAtMs:
+              arrivedAtMs + Math.min(callerDeadlineMs, route.timeoutMs),
             ageMs,
             dueAtMs: arrivedAtMs - ageMs + route.objectiveMs,
             revision: table.revision,
@@ -130,17 +131,17 @@
 
   // Asked once the body has come: to close over unread bytes would reset the
   // connection, and the caller might never see the answer.
-  private checkOpen(): void {
+  private checkAccepting(): void {
     if (!this.parts.lifecycle.isClosing()) return;
     throw createStoppingError();
   }
 
   private getTable(): RouteTable {
-    const table = this.parts.holder.getCurrent();
+    const table = this.parts.routeHolder.getCurrent();
     if (table) return table;
     throw new HollowstackError('not-ready', 'no configuration is known yet', {
       ran: 'no',
-      retryAfterMs: NOT_READY_RETRY_MS,
+      retryAfterMs: NOT_READY_RETRY_AFTER_MS,
     });
   }
 
@@ -168,7 +169,7 @@
     return new HollowstackError(
       'not-ready',
       `${error.message}, which neither the store nor a peer has confirmed lately`,
-      {ran: 'no', retryAfterMs: ELSEWHERE_RETRY_MS, cause: error},
+      {ran: 'no', retryAfterMs: OTHER_INSTANCE_RETRY_AFTER_MS, cause: error},
     );
   }
 
@@ -218,7 +219,7 @@
       controller.abort(error);
       writeError(outgoing, error, facts.requestId, protocol);
     });
-    const removeRefusal = this.parts.lifecycle.addRejectHandler(() => {
+    const removeRejectHandler = this.parts.lifecycle.addRejectHandler(() => {
       if (request.getRan() === 'no') controller.abort(createStoppingError());
     });
     outgoing.once('close', () => {
@@ -234,14 +235,17 @@
       this.recordSettled(request, 'answered', '');
     } catch (thrown) {
       const reason = request.signal.aborted ? request.signal.reason : thrown;
-      const error = createTrueError(toHollowstackError(reason), request);
+      const error = createErrorWithRunStatus(
+        toHollowstackError(reason),
+        request,
+      );
       if (!outgoing.writableEnded) {
         writeError(outgoing, error, facts.requestId, protocol);
       }
       this.recordSettled(request, error.kind, error.message);
     } finally {
       timer.cancel();
-      removeRefusal();
+      removeRejectHandler();
     }
   }
 
@@ -294,8 +298,8 @@
     requestId: string | undefined,
     outgoing: ServerResponse,
   ): void {
-    const {logger, protocol, holder, freshness} = this.parts;
-    const routes = holder.getState();
+    const {logger, protocol, routeHolder, freshness} = this.parts;
+    const routes = routeHolder.getState();
     const view = freshness.getState();
     const event =
       error.kind === 'internal' ? 'request.internal' : 'request.refused';
@@ -317,7 +321,7 @@
 
 // A later step that did not run says nothing of an attempt before it that may
 // have: what the request knows goes first.
-function createTrueError(
+function createErrorWithRunStatus(
   error: HollowstackError,
   request: RoutedRequest,
 ): HollowstackError {
@@ -329,7 +333,7 @@
 function createStoppingError(): HollowstackError {
   return new HollowstackError('not-ready', 'this instance is stopping', {
     ran: 'no',
-    retryAfterMs: ELSEWHERE_RETRY_MS,
+    retryAfterMs: OTHER_INSTANCE_RETRY_AFTER_MS,
   });
 }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -40,7 +40,7 @@
   readonly logger: EventLogger;
   readonly metrics: MetricsRegistry;
   readonly lifecycle: GatewayLifecycle;
-  readonly holder: RouteHolder;
+  readonly routeHolder: RouteHolder;
   readonly watchHub: WatchHub;
   readonly followers: readonly StoreFollower[];
   readonly freshnessGuard: FreshnessGuard;
@@ -66,7 +66,7 @@
  * Milliseconds that a start waits for the coordinator beyond what it must know;
  * most of a question to one that has started at the same time.
  */
-const SETTLE_LIMIT_MS = 300;
+const COORDINATOR_SEARCH_TIMEOUT_MS = 300;
 /** The balancer goes on sending until it has missed the instance twice. */
 const BALANCER_LAG_MS = 2600;
 /** Milliseconds between two looks whether a planned stop is over. */
@@ -77,18 +77,18 @@
  * Before the stop's time is over, requests that no upstream has seen are
  * refused rather than cut; this is the time in which the refusals go out.
  */
-const REFUSAL_MARGIN_MS = 500;
+const REJECTION_MARGIN_MS = 500;
 /**
  * Milliseconds between two ticks by which a pause of the process is noticed.
  */
-const TICK_MS = 250;
+const PAUSE_CHECK_INTERVAL_MS = 250;
 /** Milliseconds without a tick after which the process must have stood still. */
-const PAUSE_MS = 1000;
+const MIN_PAUSE_MS = 1000;
 
 /** One instance that serves routed requests. */
 export class Gateway {
   private readonly parts: GatewayParts;
-  private readonly probes: Server[] = [];
+  private readonly plainServers: Server[] = [];
   private isStopped = false;
 
   constructor(parts: GatewayParts) {
@@ -103,30 +103,30 @@
       failureDomain: settings.instance.failureDomain,
     });
     await parts.link.listen(settings.listen.peerAddress);
-    await this.listenForProbes();
+    await this.listenForProbesAndMetrics();
     await parts.server.listen(settings.listen.address);
     void parts.watchHub.start();
     void parts.membership.start();
     void parts.exchange.start();
     void parts.coordinatorSearch.start();
-    this.startPauseGuard();
+    this.startPauseDetection();
     const isEnding = () => this.isStopped || lifecycle.isStopping();
     // An instance that knows routes but no upstreams could only refuse.
     const isLoaded = () =>
-      parts.holder.getCurrent() !== undefined && parts.registry.isLoaded();
+      parts.routeHolder.getCurrent() !== undefined && parts.registry.isLoaded();
     while (!isLoaded() && !isEnding()) {
       await waitFor(clock, START_POLL_MS);
     }
     const loadedAtMs = clock.getNow();
     while (!parts.coordinatorSearch.isSettled() && !isEnding()) {
-      if (clock.getNow() - loadedAtMs >= SETTLE_LIMIT_MS) break;
+      if (clock.getNow() - loadedAtMs >= COORDINATOR_SEARCH_TIMEOUT_MS) break;
       await waitFor(clock, START_POLL_MS);
     }
     if (isEnding()) return;
     // Before, each instance takes itself for the coordinator.
     for (const task of parts.coordinatorTasks) void task.start();
     lifecycle.setState('ready');
-    logger.logEvent('entry.ready', {revision: parts.holder.getRevision()});
+    logger.logEvent('entry.ready', {revision: parts.routeHolder.getRevision()});
   }
 
   /**
@@ -162,7 +162,7 @@
       lifecycle.setState('closing');
       server.closeIdleConnections();
       const passedMs = clock.getNow() - startedAtMs;
-      if (passedMs >= limitMs - REFUSAL_MARGIN_MS) lifecycle.rejectUnsent();
+      if (passedMs >= limitMs - REJECTION_MARGIN_MS) lifecycle.rejectUnsent();
     }
     const inProgress = lifecycle.countInProgress();
     if (inProgress > 0) logger.logEvent('entry.drain-late', {inProgress});
@@ -187,14 +187,14 @@
     for (const task of parts.coordinatorTasks) task.stop();
     parts.link.close();
     parts.server.close();
-    for (const probe of this.probes) {
+    for (const probe of this.plainServers) {
       probe.close();
       probe.closeAllConnections();
     }
     parts.logger.logEvent('entry.stopped');
   }
 
-  private async listenForProbes(): Promise<void> {
+  private async listenForProbesAndMetrics(): Promise<void> {
     const {settings, lifecycle, metrics, operatorEndpoint, probePath} =
       this.parts;
     await this.listenPlain(settings.listen.probeAddress, ({path}) => {
@@ -224,7 +224,7 @@
       outgoing.writeHead(status, {'content-type': 'text/plain'});
       outgoing.end(text);
     });
-    this.probes.push(server);
+    this.plainServers.push(server);
     return new Promise((resolve, reject) => {
       server.once('error', reject);
       server.listen(port, host, () => resolve());
@@ -233,20 +233,20 @@
 
   // What waited here through a pause has been submitted elsewhere since, and what is known
   // of the store is as old as the pause.
-  private startPauseGuard(): void {
+  private startPauseDetection(): void {
     const {clock, coordinator, logger, freshnessGuard} = this.parts;
     let tickedAtMs = clock.getNow();
     const tick = () => {
       if (this.isStopped) return;
-      const pausedMs = clock.getNow() - tickedAtMs - TICK_MS;
+      const pausedMs = clock.getNow() - tickedAtMs - PAUSE_CHECK_INTERVAL_MS;
       tickedAtMs = clock.getNow();
-      if (pausedMs > PAUSE_MS) {
+      if (pausedMs > MIN_PAUSE_MS) {
         logger.logEvent('entry.paused', {pausedMs: Math.round(pausedMs)});
         coordinator.failAllJobs('the coordinator stood still');
         void freshnessGuard.refresh();
       }
-      clock.schedule(TICK_MS, tick);
+      clock.schedule(PAUSE_CHECK_INTERVAL_MS, tick);
     };
-    clock.schedule(TICK_MS, tick);
+    clock.schedule(PAUSE_CHECK_INTERVAL_MS, tick);
   }
 }
--- a/packages/gateway/src/header-list.ts
+++ b/packages/gateway/src/header-list.ts
@@ -22,11 +22,11 @@
   rawHeaders: readonly string[],
   dropped: ReadonlySet<string>,
 ): string[] {
-  const named = listConnectionNames(rawHeaders);
+  const connectionNames = listConnectionNames(rawHeaders);
   const copied: string[] = [];
   for (let index = 0; index < rawHeaders.length; index += 2) {
     const name = rawHeaders[index].toLowerCase();
-    if (CONNECTION_HEADERS.has(name) || named.has(name)) continue;
+    if (CONNECTION_HEADERS.has(name) || connectionNames.has(name)) continue;
     if (dropped.has(name)) continue;
     copied.push(rawHeaders[index], rawHeaders[index + 1]);
   }
@@ -42,8 +42,8 @@
     }
   }
   // What decides how a request is framed and routed is never dropped by a name.
-  for (const kept of ['host', 'content-length', 'content-type']) {
-    names.delete(kept);
+  for (const protectedName of ['host', 'content-length', 'content-type']) {
+    names.delete(protectedName);
   }
   return names;
 }
--- a/packages/gateway/src/request-age-estimator.ts
+++ b/packages/gateway/src/request-age-estimator.ts
@@ -8,7 +8,7 @@
  * Share by which deadlines of first attempts differ; those of one kind of
  * caller are alike but for a part of a percent.
  */
-const SPREAD = 0.02;
+const DEADLINE_TOLERANCE = 0.02;
 /** Share of the samples that must be usual, or callers differ by themselves. */
 const MIN_USUAL_SHARE = 0.5;
 /** What the age of a request depends on beside its callers. */
@@ -50,7 +50,8 @@
 function computeAge(samples: readonly number[], deadlineMs: number): number {
   if (samples.length < MIN_SAMPLES) return 0;
   const usualMs = Math.max(...samples);
-  const isUsual = (sample: number) => sample >= usualMs * (1 - SPREAD);
+  const isUsual = (sample: number) =>
+    sample >= usualMs * (1 - DEADLINE_TOLERANCE);
   const usualCount = samples.filter(isUsual).length;
   const areAlike = usualCount >= MIN_USUAL_SHARE * samples.length;
   if (!areAlike || isUsual(deadlineMs)) return 0;
--- a/packages/gateway/src/request-runner.ts
+++ b/packages/gateway/src/request-runner.ts
@@ -48,7 +48,7 @@
  * Share of the route's time that a caller must have left to be told to come
  * back; one that has less is let in, since it has no time for another attempt.
  */
-const COME_BACK_SHARE = 0.1;
+const MIN_RETRY_TIME_SHARE = 0.1;
 const NO_BYTES: ReadonlyMap<string, number> = new Map();
 
 /** Times that the stages of one request run again after their results were lost. */
@@ -65,16 +65,16 @@
   /** Resolves once the answer is on its way to its end. @throws HollowstackError */
   async run(request: RoutedRequest, table: RouteTable): Promise<void> {
     const {protocol, retryBudget} = this.parts;
-    const parts = request.listPromptParts(protocol);
-    request.promptTokens = countTokens(parts);
+    const promptParts = request.listPromptParts(protocol);
+    request.promptTokens = countTokens(promptParts);
     const counts = request.getHeader(protocol.headers.stageCounts);
     retryBudget.recordRequest(request.facts.service);
     this.parts.quarantine.admitRequest(request);
-    this.checkShortage(request);
+    this.checkAvailability(request);
     await this.parts.limitedSends.reserveSend(request);
     if (request.facts.route.stages.length === 0 || counts === undefined) {
       await this.parts.attempts.run(request, {
-        promptParts: parts,
+        promptParts,
         inputBytesByDomain: NO_BYTES,
         inputs: undefined,
         excluded: new Set(),
@@ -85,17 +85,17 @@
       request,
       table,
       protocol.parseStageCounts(counts),
-      parts.at(-1)?.tokens ?? 0,
+      promptParts.at(-1)?.tokens ?? 0,
     );
     try {
       // Both ask the coordinator, neither needs the other's answer.
       const [predictedMs, failureDomain] = await Promise.all([
         stages.admit(),
-        this.predictFailureDomain(request, parts),
+        this.predictFailureDomain(request, promptParts),
       ]);
       request.predictedMs = Math.round(predictedMs);
       stages.setFailureDomain(failureDomain);
-      await this.runWithStages(request, stages, parts);
+      await this.runWithStages(request, stages, promptParts);
     } catch (error) {
       if (error instanceof StageError) this.recordBrokenCalls(request, error);
       throw error;
@@ -120,18 +120,19 @@
   }
 
   // Nothing is made for a request that no upstream could take in the end.
-  private checkShortage(request: RoutedRequest): void {
+  private checkAvailability(request: RoutedRequest): void {
     const {pool} = this.parts;
-    const shortage = pool.findShortage(request.facts.service);
-    if (!shortage || this.isOverBefore(shortage, request)) return;
-    throw new HollowstackError('upstream-unavailable', shortage.reason, {
+    const unavailability = pool.findShortage(request.facts.service);
+    if (!unavailability || this.isOverBeforeStagesEnd(unavailability, request))
+      return;
+    throw new HollowstackError('upstream-unavailable', unavailability.reason, {
       ran: 'no',
-      retryAfterMs: shortage.retryAfterMs,
+      retryAfterMs: unavailability.retryAfterMs,
     });
   }
 
   // Upstreams that want no work now may want some by the time the stages are done.
-  private isOverBefore(
+  private isOverBeforeStagesEnd(
     {waitMs}: Unavailability,
     {facts}: RoutedRequest,
   ): boolean {
@@ -143,22 +144,22 @@
   private async runWithStages(
     request: RoutedRequest,
     stages: RequestStages,
-    parts: readonly PromptPart[],
+    promptParts: readonly PromptPart[],
   ): Promise<void> {
     const {clock, protocol, stageDurations} = this.parts;
     const startedAtMs = clock.getNow();
     const excluded = new Set<string>();
     for (let rerun = 0; ; rerun++) {
-      const made = await stages.run(request.signal);
+      const stageResults = await stages.run(request.signal);
       if (request.stagesMs === undefined) {
         request.stagesMs = Math.round(clock.getNow() - startedAtMs);
         stageDurations.recordMs(request.facts.route.name, request.stagesMs);
       }
-      const handles = made.results.map(({handle}) => handle);
+      const handles = stageResults.results.map(({handle}) => handle);
       try {
         await this.parts.attempts.run(request, {
-          promptParts: parts,
-          inputBytesByDomain: made.bytesByDomain,
+          promptParts,
+          inputBytesByDomain: stageResults.bytesByDomain,
           inputs: new ReleasableInputs(
             protocol.renderStageInputs(handles),
             () => stages.releaseAll(),
@@ -179,18 +180,18 @@
   // than where the stages would like to run.
   private async predictFailureDomain(
     request: RoutedRequest,
-    parts: readonly PromptPart[],
+    promptParts: readonly PromptPart[],
   ): Promise<string | undefined> {
-    const shared = parts.slice(0, -1);
+    const shared = promptParts.slice(0, -1);
     const sharedTokens = shared.reduce((sum, {tokens}) => sum + tokens, 0);
     if (sharedTokens < AFFINITY_FIRST_TOKENS) return undefined;
-    const home = await this.parts.chooser.choose(request, {
-      promptParts: parts,
+    const preferred = await this.parts.chooser.choose(request, {
+      promptParts,
       inputBytesByDomain: NO_BYTES,
       excluded: new Set(),
       isFinal: false,
     });
-    return home?.failureDomain;
+    return preferred?.failureDomain;
   }
 
   private createStages(
@@ -222,7 +223,7 @@
         // A caller that came back once may not do so again.
         mayRetry:
           facts.ageMs === 0 &&
-          facts.deadlineAtMs - nowMs >= COME_BACK_SHARE * route.timeoutMs,
+          facts.deadlineAtMs - nowMs >= MIN_RETRY_TIME_SHARE * route.timeoutMs,
       },
       dispatcher,
       clock,
@@ -231,7 +232,7 @@
   }
 }
 
-function countTokens(parts: readonly PromptPart[]): number | undefined {
-  if (parts.length === 0) return undefined;
-  return parts.reduce((sum, {tokens}) => sum + tokens, 0);
+function countTokens(promptParts: readonly PromptPart[]): number | undefined {
+  if (promptParts.length === 0) return undefined;
+  return promptParts.reduce((sum, {tokens}) => sum + tokens, 0);
 }
--- a/packages/gateway/src/routed-request.ts
+++ b/packages/gateway/src/routed-request.ts
@@ -47,7 +47,7 @@
   /** Id of the last event that the caller was sent. */
   lastEventId: string | undefined;
   private ran: RunStatus = 'no';
-  private firstAtMs: number | undefined;
+  private firstEventAtMs: number | undefined;
   private fingerprint: string | undefined;
 
   constructor(
@@ -104,13 +104,13 @@
 
   /** Notes that the caller gets its first event now. */
   recordFirstEvent(nowMs: number): void {
-    this.firstAtMs ??= nowMs;
+    this.firstEventAtMs ??= nowMs;
   }
 
   /** Returns milliseconds from arrival to the first event, if there was one. */
   getFirstEventMs(): number | undefined {
-    if (this.firstAtMs === undefined) return undefined;
-    return Math.round(this.firstAtMs - this.facts.arrivedAtMs);
+    if (this.firstEventAtMs === undefined) return undefined;
+    return Math.round(this.firstEventAtMs - this.facts.arrivedAtMs);
   }
 
   getRan(): RunStatus {
--- a/packages/gateway/src/stream-relay.ts
+++ b/packages/gateway/src/stream-relay.ts
@@ -1,6 +1,6 @@
 import {TransportError} from '@hollowstack/transport';
 import type {IncomingMessage, ServerResponse} from 'node:http';
-import {isUnframed, writeUpstreamHead} from './answer-writer.ts';
+import {isCloseDelimited, writeUpstreamHead} from './answer-writer.ts';
 import {EventSplitter} from './event-splitter.ts';
 import type {RoutedRequest} from './routed-request.ts';
 
@@ -43,7 +43,7 @@
     }
     // The end of an answer without a length proves nothing to one that has.
     const isFramed = outgoing.useChunkedEncodingByDefault;
-    if (outgoing.headersSent && isFramed && isUnframed(head)) {
+    if (outgoing.headersSent && isFramed && isCloseDelimited(head)) {
       throw new TransportError('the stream ended without a proof', 'some');
     }
     this.writeHeadOnce();
--- a/packages/gateway/src/upstream-choice.ts
+++ b/packages/gateway/src/upstream-choice.ts
@@ -28,12 +28,12 @@
 }
 
 /** Own requests that a shared prompt may bring to its home whatever the others have. */
-const HOME_ALLOWANCE = 3;
+const MIN_AFFINITY_BOUND = 3;
 /**
  * An upstream this much slower than usual is left out while others are
  * there.
  */
-const SLOW_FACTOR = 2;
+const SLOW_LATENCY_RATIO = 2;
 
 /** Chooses the upstream of a request; undefined where there is none. */
 export function chooseRequestUpstream(
@@ -46,21 +46,24 @@
     candidate => candidate.failureDomain === failureDomain,
   );
   const pool = near.length > 0 ? near : candidates;
-  const fast = pool.filter(({latencyRatio}) => latencyRatio < SLOW_FACTOR);
+  const fast = pool.filter(
+    ({latencyRatio}) => latencyRatio < SLOW_LATENCY_RATIO,
+  );
   const usable = fast.length > 0 ? fast : pool;
   if (affinityKey === undefined) return chooseLeastLoaded(usable, input.random);
   return (
-    chooseHome(usable, affinityKey) ?? chooseLeastLoaded(usable, input.random)
+    chooseByAffinity(usable, affinityKey) ??
+    chooseLeastLoaded(usable, input.random)
   );
 }
 
-function chooseHome(
+function chooseByAffinity(
   candidates: readonly UpstreamCandidate[],
   affinityKey: string,
 ): UpstreamCandidate | undefined {
   const byId = new Map(candidates.map(candidate => [candidate.id, candidate]));
   const total = candidates.reduce((sum, each) => sum + each.ownInFlight, 0);
-  const bound = Math.max(HOME_ALLOWANCE, (2 * total) / candidates.length);
+  const bound = Math.max(MIN_AFFINITY_BOUND, (2 * total) / candidates.length);
   for (const id of listByRendezvous(affinityKey, [...byId.keys()])) {
     const candidate = byId.get(id)!;
     if (candidate.ownInFlight < bound) return candidate;
--- a/packages/gateway/src/upstream-chooser.ts
+++ b/packages/gateway/src/upstream-chooser.ts
@@ -45,27 +45,29 @@
 
   async choose(
     request: RoutedRequest,
-    need: UpstreamChoiceOptions,
+    options: UpstreamChoiceOptions,
   ): Promise<UpstreamAssignment | undefined> {
     const {freshnessGuard} = this.parts;
     if (freshnessGuard.isRefreshDue()) await freshnessGuard.refresh();
     const {service} = request.facts;
-    const listed = this.parts.pool.listCandidates(service, need.excluded);
-    const limited = await this.chooseLimited(request, need, listed);
+    const listed = this.parts.pool.listCandidates(service, options.excluded);
+    const limited = await this.chooseLimited(request, options, listed);
     if (limited) return limited;
     const candidates = this.listPreferred(listed);
-    if (need.promptParts.length > 0) {
+    if (options.promptParts.length > 0) {
       const assigned = await this.parts.assigner.askForEngine({
         requestId: request.facts.requestId,
         service,
-        parts: [...need.promptParts],
-        inputs: [...need.inputBytesByDomain].map(([failureDomain, bytes]) => ({
-          failureDomain,
-          bytes,
-        })),
-        excluded: this.listExcluded(service, need, candidates),
-        isFinal: need.isFinal,
-        dueInMs: this.computeDueInMs(request, need),
+        parts: [...options.promptParts],
+        inputs: [...options.inputBytesByDomain].map(
+          ([failureDomain, bytes]) => ({
+            failureDomain,
+            bytes,
+          }),
+        ),
+        excluded: this.listExcluded(service, options, candidates),
+        isFinal: options.isFinal,
+        dueInMs: this.computeDueInMs(request, options),
       });
       // An answer may have come meanwhile that says more.
       const isKnown = candidates.some(({id}) => id === assigned?.id);
@@ -73,11 +75,11 @@
     }
     const chosen = chooseRequestUpstream({
       candidates,
-      affinityKey: createAffinityKey(need.promptParts),
-      failureDomain: chooseHeaviestDomain(need.inputBytesByDomain),
+      affinityKey: createAffinityKey(options.promptParts),
+      failureDomain: chooseHeaviestDomain(options.inputBytesByDomain),
       random: this.parts.random,
     });
-    if (chosen && need.isFinal)
+    if (chosen && options.isFinal)
       this.parts.pool.recordUncoordinatedChoice(chosen.id);
     return chosen;
   }
@@ -121,12 +123,12 @@
     preferred: readonly UpstreamCandidate[],
   ): string[] {
     const {pool, limitedSends} = this.parts;
-    const closed = pool.listBlocked(service);
+    const blocked = pool.listBlocked(service);
     const limited = pool
       .listIds(service)
       .filter(id => limitedSends.isLimited(id))
       .filter(id => !preferred.some(candidate => candidate.id === id));
-    return [...new Set([...excluded, ...closed, ...limited])];
+    return [...new Set([...excluded, ...blocked, ...limited])];
   }
 
   // A forecast for stages that are still to run knows no time yet.
@@ -167,30 +169,30 @@
       this.recordStep(request, upstreamId, {step: 'ended'});
       return;
     }
-    const isOther = outcome.type === 'not-run' && outcome.isMisdirected;
+    const isMisdirected = outcome.type === 'not-run' && outcome.isMisdirected;
     // This side kept it back; the upstream was not even asked.
     const isUnreached = outcome.type === 'unsent' && !outcome.isWithdrawn;
-    const isAgainst =
+    const countsAsFailure =
       isUnreached ||
-      isOther ||
+      isMisdirected ||
       (outcome.type === 'failed' &&
         !outcome.isLocallyAborted &&
         !outcome.deliverFailure);
-    if (isUnreached || isOther) pool.recordFailure(upstreamId, 'refused');
-    else if (isAgainst) pool.recordFailure(upstreamId, 'broken');
+    if (isUnreached || isMisdirected) pool.recordFailure(upstreamId, 'refused');
+    else if (countsAsFailure) pool.recordFailure(upstreamId, 'broken');
     const isTurnedAway = outcome.type !== 'failed';
-    const step = isAgainst ? 'failed' : 'ended';
+    const step = countsAsFailure ? 'failed' : 'ended';
     this.recordStep(request, upstreamId, {step, isTurnedAway});
   }
 
   private recordStep(
     request: RoutedRequest,
     upstreamId: string,
-    seen: Omit<AssignmentProgress, 'requestId' | 'upstreamId'>,
+    progress: Omit<AssignmentProgress, 'requestId' | 'upstreamId'>,
   ): void {
     if (!request.facts.route.hasAffinity) return;
     const {requestId} = request.facts;
-    this.parts.assigner.recordProgress({requestId, upstreamId, ...seen});
+    this.parts.assigner.recordProgress({requestId, upstreamId, ...progress});
   }
 }
 
--- a/packages/gateway/src/window-retry-budget.test.ts
+++ b/packages/gateway/src/window-retry-budget.test.ts
@@ -19,7 +19,7 @@
       () => instances,
     );
   let retries = 0;
-  for (let life = 0; life < 2; life++) {
+  for (let start = 0; start < 2; start++) {
     for (let instance = 0; instance < instances; instance++) {
       retries += countRetries(createOne(), 's');
     }
--- a/packages/gateway/src/window-retry-budget.ts
+++ b/packages/gateway/src/window-retry-budget.ts
@@ -63,14 +63,14 @@
   private getBucket(service: string): Bucket {
     const index = Math.floor(this.getNow() / BUCKET_MS);
     const oldest = index - Math.ceil(this.bound.windowMs / BUCKET_MS);
-    const kept = (this.buckets.get(service) ?? []).filter(
+    const recent = (this.buckets.get(service) ?? []).filter(
       bucket => bucket.index >= oldest,
     );
-    this.buckets.set(service, kept);
-    const last = kept.at(-1);
+    this.buckets.set(service, recent);
+    const last = recent.at(-1);
     if (last?.index === index) return last;
     const bucket: Bucket = {index, requests: 0, retries: 0};
-    kept.push(bucket);
+    recent.push(bucket);
     return bucket;
   }
 }
