--- a/packages/gateway/src/answer-writer.ts
+++ b/packages/gateway/src/answer-writer.ts
@@ -5,15 +5,12 @@
 
 const NO_HEADERS: ReadonlySet<string> = new Set();
 const LENGTH_HEADER: ReadonlySet<string> = new Set(['content-length']);
-/**
- * Milliseconds after which to come back where the refusal knows nothing
- * better.
- */
+/** Milliseconds in `Retry-After` if the error does not specify a delay. */
 const DEFAULT_RETRY_AFTER_MS = 500;
 
 /**
- * Returns whether an answer ends with its connection and nothing else, so that
- * nobody can tell whether it is whole.
+ * Returns whether only the end of the connection marks the end of an answer, so that a
+ * truncated one cannot be recognized.
  */
 export function isCloseDelimited(head: IncomingMessage): boolean {
   return (
@@ -22,13 +19,14 @@
   );
 }
 
-// What came without a length must not be framed as complete here.
+// An answer without a length must not be framed here, or a truncated one would look
+// complete to the caller.
 function setCloseDelimited(outgoing: ServerResponse): void {
   outgoing.useChunkedEncodingByDefault = false;
   outgoing.shouldKeepAlive = false;
 }
 
-/** Sends on the head of an upstream's answer whose body follows as it arrives. */
+/** Writes the status and headers of an upstream's answer; the body is streamed afterwards. */
 export function writeUpstreamHead(
   outgoing: ServerResponse,
   head: IncomingMessage,
@@ -38,7 +36,7 @@
   outgoing.writeHead(head.statusCode!, head.statusMessage, headers);
 }
 
-/** Sends on a whole answer of an upstream. */
+/** Writes a complete answer of an upstream. */
 export function writeUpstreamAnswer(
   outgoing: ServerResponse,
   head: IncomingMessage,
@@ -65,8 +63,9 @@
 }
 
 /**
- * Answers a request with an error of our own. Statuses that promise "not run"
- * are only used where that is so.
+ * Answers a request with an error of this instance. Statuses that imply that the request
+ * was not run are used only if that is known. If the answer has already begun, the
+ * connection is closed instead.
  */
 export function writeError(
   outgoing: ServerResponse,
@@ -76,7 +75,7 @@
 ): void {
   if (outgoing.destroyed) return;
   if (outgoing.headersSent) {
-    // What has begun must not look complete.
+    // The partial answer must not look complete.
     outgoing.destroy();
     return;
   }
--- a/packages/gateway/src/attempt-runner.ts
+++ b/packages/gateway/src/attempt-runner.ts
@@ -39,38 +39,38 @@
   readonly policy: PolicySettings;
 }
 
-/** Connections that may fail to stand before a request is refused. */
+/** Number of unsent or misdirected attempts after which a request is rejected. */
 const MAX_UNSENT_ATTEMPTS = 8;
-/** Milliseconds without an event after which the engine of a stream counts as silent. */
+/** Milliseconds without an event after which the engine of a stream counts as unresponsive. */
 const STREAM_INACTIVITY_TIMEOUT_MS = 1500;
 /**
- * Milliseconds of silence that no plain upstream is blamed for; several
- * times the usual work.
+ * Lower bound of the inactivity time-out of a plain upstream, in milliseconds; several
+ * times the usual processing time.
  */
 const MIN_INACTIVITY_TIMEOUT_MS = 100;
-/** Times of what is usual, and share of the objective, for a plain answer. */
+/** Multiple of the service's mean latency after which a plain answer is overdue. */
 const MEAN_LATENCY_FACTOR = 2.5;
 /**
- * Share of the objective after which a silent plain upstream is given up;
- * what is left suffices for another one.
+ * Share of the route's objective after which an unresponsive plain upstream is abandoned;
+ * the remaining time suffices for another attempt.
  */
 const OBJECTIVE_SHARE = 0.6;
 
-/** What the attempts of a request need beside the request. */
+/** Inputs that all attempts of a request share. */
 export interface AttemptOptions {
-  /** Parts of the prompt, the shared ones first. */
+  /** Parts of the prompt; the last one is the request's or its session's own. */
   readonly promptParts: readonly PromptPart[];
-  /** Bytes of the inputs by the failure domain in which they lie. */
+  /** Bytes of the inputs stored in each failure domain. */
   readonly inputBytesByDomain: ReadonlyMap<string, number>;
   /** Stage results that the upstream reads; undefined for a request without stages. */
   readonly inputs: ReleasableInputs | undefined;
-  /** Upstreams that have failed the request. */
+  /** Ids of the upstreams at which the request has failed. */
   readonly excluded: Set<string>;
-  /** Called with the milliseconds from a send to the first event. */
+  /** Called with the milliseconds from the start of an attempt to its first event. */
   readonly handleFirstEvent?: (firstMs: number) => void;
 }
 
-/** Sends a request to upstreams, one after the other, for as long as another attempt may help. */
+/** Sends a request to one upstream after another until it succeeds or may not be retried. */
 export class AttemptRunner {
   private readonly parts: AttemptRunnerParts;
 
@@ -79,10 +79,10 @@
   }
 
   /**
-   * Makes attempts until one is answered or none is left.
+   * Makes attempts until one is answered or no further attempt is allowed.
    *
-   * @throws InputsLostError where the stages have to run again, HollowstackError where the
-   * request ends without an answer.
+   * @throws InputsLostError if the stages have to run again; another HollowstackError if
+   * the request ends without an answer.
    */
   async run(request: RoutedRequest, options: AttemptOptions): Promise<void> {
     const {quarantine, isolatedAttempts} = this.parts;
@@ -147,7 +147,8 @@
     }
   }
 
-  // One that may crash its upstream goes where it runs alone, if there is such a place.
+  // An isolated request may crash its upstream: it goes to an idle one if there is any, so
+  // that no other request is lost with it.
   private chooseUpstream(
     request: RoutedRequest,
     {promptParts, inputBytesByDomain, excluded}: AttemptOptions,
@@ -190,8 +191,8 @@
     return upstream;
   }
 
-  // A request that may go to no further upstream goes to the same one again,
-  // once its lost inputs are made.
+  // A request that has reached its maximum number of attempts is only repeated after its
+  // lost inputs were recomputed, and then at the upstream of its first attempt.
   private findOnlyUpstream(request: RoutedRequest): {id: string} | undefined {
     const {pool} = this.parts;
     const {route} = request.facts;
@@ -315,14 +316,14 @@
       attempt: request.sentTo.length,
       outcome: outcome.type,
       reason: outcome.reason,
-      // Tells whether the same request was at each of several crashes.
+      // Shows whether the same request was involved in several crashes.
       fingerprint: hasLostConnection ? request.getFingerprint() : undefined,
       workspace: hasLostConnection ? workspace?.name : undefined,
     });
   }
 }
 
-// An upstream that was not there has not been sent anything.
+// A misdirected request reached another upstream than the intended one and was not run.
 function isUnsent(outcome: AttemptOutcome): boolean {
   return (
     outcome.type === 'unsent' ||
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -20,13 +20,13 @@
 
 /** Stage results that an upstream reads before it runs the request. */
 export interface AttemptInputs {
-  /** Value of the header that names them. */
+  /** Value of the request header that lists their handles. */
   readonly header: string;
-  /** Called once the upstream has read them, so that their makers can drop them. */
+  /** Called once the upstream has read them, so that the stage upstreams can free them. */
   readonly release: () => void;
 }
 
-/** What one attempt works with. */
+/** Dependencies and inputs of an Attempt. */
 export interface AttemptParts {
   readonly clock: Clock;
   readonly protocol: RequestProtocol;
@@ -34,74 +34,81 @@
   readonly upstream: RegisteredUpstream;
   readonly signals: Pick<UpstreamSignals, 'recordAnswer'>;
   /**
-   * Asked right before the first byte leaves; returns whether the upstream has not said
-   * meanwhile that it leaves or wants no work.
+   * Called immediately before the first byte is sent; returns false if the request may not
+   * be sent any more, for example because the upstream meanwhile reported that it leaves or
+   * asked for a back-off.
    */
   readonly acquireSend: () => boolean;
   /** Stage results that the upstream reads; undefined for a request without stages. */
   readonly inputs: AttemptInputs | undefined;
-  /** Whether the inputs are released at the first event of a stream. */
+  /** Whether the inputs are released at the first event of a stream, not at its end. */
   readonly releasesAtFirstEvent: boolean;
   /** Called with the milliseconds to the first event of a stream. */
   readonly handleFirstEvent: (firstMs: number) => void;
   readonly inactivity: {
-    /** Milliseconds without a byte after which the upstream counts as silent. */
+    /**
+     * Milliseconds without an event of a stream, or without a complete plain answer, after
+     * which the upstream counts as unresponsive.
+     */
     readonly timeoutMs: number;
-    /** Returns whether the attempt is given up for another one. */
+    /** Returns whether the attempt is cancelled in favour of another one. */
     readonly handleTimeout: () => boolean;
   };
 }
 
-/** What became of one attempt. */
+/** Outcome of one attempt. */
 export type AttemptOutcome =
-  /** The answer has gone to the caller whole. */
+  /** The complete answer was sent to the caller. */
   | {readonly type: 'answered'; readonly firstMs: number}
-  /** No byte of the request has left. */
+  /** No byte of the request was sent. */
   | {
       readonly type: 'unsent';
       readonly reason: string;
-      /** Whether this side kept it back, which says nothing against the upstream. */
+      /** Whether this instance withheld it, which says nothing about the upstream's health. */
       readonly isWithdrawn: boolean;
-      /** Whether the connection was refused, so that nobody listens there. */
+      /** Whether the connection was refused, so that no process listens at the address. */
       readonly isRefused: boolean;
     }
-  /** The upstream promises that it has not run the request. */
+  /** The upstream guarantees that it has not run the request. */
   | {
       readonly type: 'not-run';
       readonly reason: string;
-      /** Whether the upstream that was meant is no longer there. */
+      /** Whether another upstream has taken over the address of the intended one. */
       readonly isMisdirected: boolean;
-      /** Whether a result that the request reads was lost. */
+      /** Whether a stage result that the request reads was lost. */
       readonly isInputGone: boolean;
     }
-  /** It may have run. */
+  /** The upstream may have run the request. */
   | {
       readonly type: 'failed';
       readonly reason: string;
-      /** Whether this side ended the attempt, which says nothing of the upstream. */
+      /** Whether this instance aborted it, which says nothing about the upstream's health. */
       readonly isLocallyAborted: boolean;
-      /** Whether the connection ended under it, as it does where the upstream crashes. */
+      /** Whether the connection was lost during the attempt, as happens if the upstream crashes. */
       readonly hasLostConnection: boolean;
-      /** Sends the upstream's own failure on, where it gave a whole one. */
+      /**
+       * Sends the upstream's own error answer to the caller; set if it arrived completely and
+       * no part of an answer was sent yet.
+       */
       readonly deliverFailure?: () => void;
     };
 
 /**
- * Milliseconds for a connection to stand; some hundred round trips within a
+ * Milliseconds for establishing a connection; some hundred round trips within a
  * region.
  */
 const CONNECT_TIMEOUT_MS = 400;
 /**
- * Bytes of a plain answer that are held until it is whole; more would
- * endanger an instance of 250 MB.
+ * Maximum size in bytes of a plain answer, which is buffered until it is complete; larger
+ * buffers could exhaust an instance with 250 MB of memory.
  */
 const MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
-/** HTTP status: the address belongs to another upstream now. */
+/** HTTP status: the address now belongs to another upstream. */
 const MISDIRECTED = 421;
-/** HTTP status: a stage result that the request names is gone. */
+/** HTTP status: a stage result that the request reads was lost. */
 const INPUT_GONE = 409;
 
-/** Sends a request to one upstream and its answer to the caller. */
+/** Sends a request to one upstream and passes the answer to the caller. */
 export class Attempt {
   private readonly parts: AttemptParts;
   private readonly startedAtMs: number;
@@ -124,9 +131,9 @@
         headers: this.createHeaders(),
         body: request.body,
         connectTimeoutMs: CONNECT_TIMEOUT_MS,
-        // A connection may take 0.4 s to stand, a fifth of the time in which an
-        // upstream that leaves must get no more work; and fifty requests may wait for
-        // theirs as the first answer asks for none.
+        // Checked again once the connection is established: that may take 0.4 s, a fifth of
+        // the time in which a leaving upstream must stop getting work, and fifty requests
+        // may be connecting while the first answer asks for a back-off.
         mayStillSend: () => {
           isWithdrawn = !acquireSend();
           return !isWithdrawn;
@@ -173,7 +180,7 @@
     }
   }
 
-  // Read before anything else: they hold whatever the rest of the answer is.
+  // Signals in the headers are valid even if the rest of the answer turns out to be invalid.
   private recordSignals(head: IncomingMessage): void {
     const {signals, upstream, request} = this.parts;
     signals.recordAnswer({
@@ -184,7 +191,8 @@
     });
   }
 
-  // An upstream may die without a word, or run a request and lose its answer.
+  // An upstream may die without closing its connection, or run a request and lose the
+  // answer.
   private watchInactivity(call: SingleCall): void {
     const {clock, inactivity} = this.parts;
     this.inactivityTimer?.cancel();
@@ -274,7 +282,7 @@
           : () => writeUpstreamAnswer(outgoing, head, body),
       };
     }
-    // A run that continues a stream must be one itself.
+    // A stream that has begun can only be continued by another stream.
     if (outgoing.headersSent) {
       return createFailedOutcome(`answered ${status}`);
     }
@@ -294,9 +302,9 @@
       if (firstMs !== undefined) return;
       firstMs = this.getElapsedMs();
       this.parts.handleFirstEvent(firstMs);
-      // The first event proves that the upstream has read its inputs. Keeping
-      // them for a possible resumption would occupy their makers for the whole
-      // stream; a stream that breaks off has its stages run again instead.
+      // The first event proves that the upstream has read its inputs. Storing them for a
+      // possible resumption would occupy memory of the stage upstreams for the whole
+      // stream; if the stream breaks off, the stages run again instead.
       if (this.parts.releasesAtFirstEvent) inputs?.release();
     });
     await relay.run();
--- a/packages/gateway/src/cached-prompts-reader.ts
+++ b/packages/gateway/src/cached-prompts-reader.ts
@@ -9,30 +9,27 @@
 } from '@hollowstack/upstream-signals';
 import type {EngineProtocol} from './engine-protocol.ts';
 
-/** What the reader works with. */
+/** Dependencies of CachedPromptsReader. */
 export interface CachedPromptsReaderParts {
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly directory: EngineDirectory;
   readonly protocol: EngineProtocol;
   readonly signals: Pick<UpstreamSignals, 'recordAnswer'>;
-  /** Returns whether an engine neither leaves nor wants to be left alone. */
+  /** Returns whether an engine is neither leaving, backing off nor rate-limited. */
   readonly mayAsk: (engineId: string) => boolean;
 }
 
-/**
- * Milliseconds for a connection to an engine to stand; some hundred round
- * trips.
- */
+/** Milliseconds for establishing a connection to an engine; some hundred round trips. */
 const CONNECT_TIMEOUT_MS = 300;
-/** Milliseconds for the whole list; nobody waits for it. */
+/** Milliseconds for the complete list; no request waits for it. */
 const ANSWER_TIMEOUT_MS = 1000;
-/** Bytes of a list, at most; some 50,000 parts. */
+/** Maximum size of a list in bytes; some 50,000 parts. */
 const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
 
 /**
- * Asks each engine once what it keeps, when this instance begins to assign
- * requests: whoever did so before may be gone with what it knew.
+ * Reads the prompt cache of each engine once, when this instance begins to assign requests
+ * as coordinator: the state of the previous coordinator may be lost.
  */
 export class CachedPromptsReader {
   private readonly parts: CachedPromptsReaderParts;
@@ -43,8 +40,8 @@
   }
 
   /**
-   * Asks the engines of a service that were not asked yet; does not wait for them. One
-   * that wants no work now is asked later.
+   * Queries the engines of a service that were not queried yet, without waiting for their
+   * answers. Engines that may not be queried now are queried by a later call.
    */
   readCachedPrompts(service: string): void {
     for (const engine of this.parts.directory.listEngines(service)) {
@@ -77,7 +74,7 @@
       directory.recordCachedParts(id, cachedParts);
       logger.logEvent('engine.kept', {upstream: id, parts: cachedParts.length});
     } catch {
-      // Without the answer the engine counts as empty, which costs reading only.
+      // Without an answer the cache counts as empty, which only costs repeated prefills.
     }
   }
 }
--- a/packages/gateway/src/crash-reporter.ts
+++ b/packages/gateway/src/crash-reporter.ts
@@ -13,14 +13,14 @@
   readonly sentAtMs: number;
 }
 
-/** Dependencies of CrashSigns. */
+/** Dependencies of CrashReporter. */
 export interface CrashReporterParts {
   readonly clock: Clock;
   readonly pool: Pick<UpstreamPool, 'getRecord'>;
   readonly quarantine: RequestQuarantine;
 }
 
-/** Tells the quarantine what attempts show of their requests and of upstreams' processes. */
+/** Reports to the quarantine which attempts indicate that an upstream crashed or survived. */
 export class CrashReporter {
   private readonly parts: CrashReporterParts;
 
@@ -28,7 +28,7 @@
     this.parts = parts;
   }
 
-  /** Takes what became of an attempt. */
+  /** Reports the outcome of an attempt; outcomes that indicate neither are ignored. */
   recordOutcome(sent: SentAttempt, outcome: AttemptOutcome): void {
     const {quarantine} = this.parts;
     const {request, upstream} = sent;
@@ -37,7 +37,7 @@
       .with({type: 'failed', hasLostConnection: true}, () =>
         this.recordSuspectedCrash(sent),
       )
-      // The upstream lived to tell of its failure.
+      // A complete error answer shows that the upstream survived the request.
       .with({type: 'failed'}, ({deliverFailure}) => {
         if (deliverFailure) quarantine.recordServed(request);
       })
@@ -50,12 +50,12 @@
       .otherwise(() => {});
   }
 
-  /** Notes that an upstream has been silent for too long. */
+  /** Reports that an upstream exceeded the inactivity time-out of an attempt. */
   recordUnresponsive(sent: SentAttempt): void {
     this.recordSuspectedCrash(sent);
   }
 
-  // One that leaves ends by plan.
+  // The end of a leaving upstream is planned and no crash.
   private recordSuspectedCrash({
     request,
     upstream,
--- a/packages/gateway/src/create-gateway.ts
+++ b/packages/gateway/src/create-gateway.ts
@@ -51,7 +51,7 @@
 import {UpstreamRegistry} from './upstream-registry.ts';
 import {WindowRetryBudget} from './window-retry-budget.ts';
 
-/** What a gateway needs of the world; tests pass their own. */
+/** External dependencies of a gateway; tests pass their own. */
 export interface GatewayEnvironment {
   readonly clock: Clock;
   readonly logger: EventLogger;
@@ -67,8 +67,8 @@
 }
 
 /**
- * Wires all parts of a gateway; here, in createStoreView and in createQuarantine is where
- * they are constructed.
+ * Creates a gateway. Its components are constructed here and in createStoreView,
+ * createLimits and createQuarantine.
  */
 export function createGateway(
   settings: GatewaySettings,
--- a/packages/gateway/src/create-limits.ts
+++ b/packages/gateway/src/create-limits.ts
@@ -13,7 +13,7 @@
   readonly limiter: SendLimiter;
 }
 
-/** Wires the limiter, and the granter that is used while this instance coordinates. */
+/** Creates the limiter, and the granter that is used while this instance coordinates. */
 export function createLimits(
   {
     clock,
--- a/packages/gateway/src/create-quarantine.ts
+++ b/packages/gateway/src/create-quarantine.ts
@@ -6,14 +6,14 @@
 import {checkConnection} from '@hollowstack/transport';
 import type {GatewayEnvironment} from './create-gateway.ts';
 
-/** What keeps requests that crash upstreams away from further ones. */
+/** Components that keep requests which crash upstreams away from further upstreams. */
 export interface Quarantine {
   readonly suspects: SuspectTable;
   readonly detector: CrashDetector;
   readonly quarantine: RequestQuarantine;
 }
 
-/** Wires the quarantine and its metrics. */
+/** Creates the components of the quarantine and registers their metrics. */
 export function createQuarantine({
   clock,
   logger,
--- a/packages/gateway/src/engine-assigner.ts
+++ b/packages/gateway/src/engine-assigner.ts
@@ -8,23 +8,23 @@
 import type {CachedPromptsReader} from './cached-prompts-reader.ts';
 import type {AssignmentProgress, AssignmentRequest} from '@hollowstack/types';
 
-/** What the assigner works with. */
+/** Dependencies of EngineAssigner. */
 export interface EngineAssignerParts {
   readonly link: PeerLink;
   readonly notifications: NotificationQueue;
   readonly membership: Membership;
-  /** This instance's own directory. */
+  /** This instance's own directory; used while it coordinates or the coordinator fails. */
   readonly localDirectory: EngineDirectory;
   readonly cachedPrompts: CachedPromptsReader;
 }
 
-/** Where a request should go. */
+/** The upstream that a request is assigned to. */
 export interface UpstreamAssignment {
   readonly id: string;
   readonly failureDomain: string;
 }
 
-/** A coordinator that takes longer is done without. */
+/** Milliseconds for the coordinator's reply; after them the local directory is used. */
 const ASSIGN_TIMEOUT_MS = 80;
 
 /** Asks the coordinator which engine a request should go to. */
@@ -35,7 +35,7 @@
     this.parts = parts;
   }
 
-  /** Returns undefined where nobody knows an engine that could take the request. */
+  /** Resolves to undefined if no engine is known that could take the request. */
   async askForEngine(
     request: AssignmentRequest,
   ): Promise<UpstreamAssignment | undefined> {
@@ -60,13 +60,13 @@
     return {id: upstreamId, failureDomain};
   }
 
-  /** Tells the coordinator how far a request is. */
+  /** Reports the progress of a request to the coordinator. */
   recordProgress(progress: AssignmentProgress): void {
     const {notifications, localDirectory, membership} = this.parts;
     localDirectory.recordProgress(progress);
     const coordinator = chooseCoordinator(membership);
     if (!coordinator) return;
-    // A coordinator that is gone has forgotten the assignment as well.
+    // Not retried: a coordinator that is gone has lost the assignment as well.
     notifications
       .sendNotification(coordinator.address, {
         type: 'assignment-progress',
--- a/packages/gateway/src/engine-protocol.ts
+++ b/packages/gateway/src/engine-protocol.ts
@@ -1,11 +1,11 @@
 import type {EncodedRequest} from '@hollowstack/stages';
 import type {PromptPart} from '@hollowstack/types';
 
-/** How engines are asked what they keep; an adapter gives names and formats. */
+/** Queries the prompt caches of engines; an adapter defines names and formats. */
 export abstract class EngineProtocol {
-  /** Encodes the question which parts of prompts an engine keeps. */
+  /** Encodes the request that lists the prompt parts in an engine's cache. */
   abstract createCacheContentsRequest(address: string): EncodedRequest;
 
-  /** Reads the answer; empty where it cannot be read. */
+  /** Parses the answer; returns an empty list if it is invalid. */
   abstract parseCacheContents(text: string): PromptPart[];
 }
--- a/packages/gateway/src/event-splitter.test.ts
+++ b/packages/gateway/src/event-splitter.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {EventSplitter} from './event-splitter.ts';
 
-test('only whole events come out, with the id of the last one', () => {
+test('only complete events are returned, with the id of the last one', () => {
   const splitter = new EventSplitter();
   assert.equal(splitter.addBytes(Buffer.from('id: 1\ndata: a\n')), undefined);
   const events = splitter.addBytes(
@@ -16,7 +16,7 @@
   assert.equal(splitter.getRest().toString(), 'id: 3\ndata');
 });
 
-test('bytes in any pieces come out the same', () => {
+test('the output does not depend on the chunk size of the input', () => {
   const text = 'id: 7\ndata: x\n\nid: 8\r\ndata: y\r\n\r\ndata: z\n\n';
   for (let size = 1; size <= text.length; size++) {
     const splitter = new EventSplitter();
--- a/packages/gateway/src/event-splitter.ts
+++ b/packages/gateway/src/event-splitter.ts
@@ -1,22 +1,22 @@
-/** Byte of a line feed. */
+/** ASCII code of a line feed. */
 const LINE_FEED = 10;
-/** Byte of a carriage return. */
+/** ASCII code of a carriage return. */
 const CARRIAGE_RETURN = 13;
 
-/** Whole events of a stream, and the id of the last one. */
+/** Complete events of a stream, and the last id among them if any has one. */
 export interface CompleteEvents {
   readonly bytes: Buffer;
   readonly lastId: string | undefined;
 }
 
 /**
- * Cuts a stream of server-sent events where events end, so that only whole ones
- * are passed on: an upstream may stop in the middle of one.
+ * Splits a stream of server-sent events at event boundaries, so that only complete events
+ * are forwarded if an upstream stops in the middle of one.
  */
 export class EventSplitter {
   private rest: Buffer = Buffer.alloc(0);
 
-  /** Takes bytes and returns the events that are whole now, if any. */
+  /** Appends bytes and returns the events that they complete; undefined if there are none. */
   addBytes(chunk: Buffer): CompleteEvents | undefined {
     const bytes =
       this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
@@ -30,7 +30,7 @@
     return {bytes: whole, lastId: findLastId(whole)};
   }
 
-  /** Returns the bytes behind the last whole event. */
+  /** Returns the bytes after the last complete event. */
   getRest(): Buffer {
     return this.rest;
   }
--- a/packages/gateway/src/gateway-lifecycle.ts
+++ b/packages/gateway/src/gateway-lifecycle.ts
@@ -1,26 +1,26 @@
 import type {Clock} from '@hollowstack/clock';
 import type {ServerResponse} from 'node:http';
 
-/** Where in its life a gateway is. */
+/** State of a gateway from its start to its end; `closing` rejects new requests. */
 export type GatewayState = 'starting' | 'ready' | 'draining' | 'closing';
 
-/** The gateway's state, and the answers it still owes. */
+/** State of the gateway and its requests in progress. */
 export class GatewayLifecycle {
   private state: GatewayState = 'starting';
   private readonly openResponses = new Set<ServerResponse>();
   private readonly rejectHandlers = new Set<() => void>();
   private readonly startWaiters: Array<() => void> = [];
 
-  /** Changes the state; whoever waits for the end of the start goes on. */
+  /** Changes the state and resolves the promises of waitForStart. */
   setState(state: GatewayState): void {
     this.state = state;
     for (const resolve of this.startWaiters.splice(0)) resolve();
   }
 
   /**
-   * Resolves once the instance has what it needs to decide, or the time is over.
+   * Resolves once the start is complete or the time is over.
    *
-   * @param limitMs Milliseconds to wait at most.
+   * @param limitMs Maximum wait in milliseconds; no wait if not positive.
    */
   async waitForStart(clock: Clock, limitMs: number): Promise<void> {
     if (this.state !== 'starting' || limitMs <= 0) return;
@@ -41,7 +41,7 @@
     return this.state === 'draining' || this.isClosing();
   }
 
-  /** Returns whether requests that come now are refused, so that those in progress can end. */
+  /** Returns whether new requests are rejected, so that those in progress can be completed. */
   isClosing(): boolean {
     return this.state === 'closing';
   }
@@ -50,27 +50,27 @@
     return this.openResponses.size;
   }
 
-  /** Notes that a request has begun; the returned function ends it. */
+  /** Counts a request as in progress until the returned function is called. */
   beginRequest(outgoing: ServerResponse): () => void {
     this.openResponses.add(outgoing);
     return () => this.openResponses.delete(outgoing);
   }
 
   /**
-   * Adds a function that refuses a request if nothing of it was sent to an
-   * upstream yet; the returned function removes it.
+   * Adds a function that rejects a request if it was not sent to an upstream yet; the
+   * returned function removes it.
    */
   addRejectHandler(rejectHandler: () => void): () => void {
     this.rejectHandlers.add(rejectHandler);
     return () => this.rejectHandlers.delete(rejectHandler);
   }
 
-  /** Refuses every request of which nothing was sent to an upstream yet. */
+  /** Rejects every request that was not sent to an upstream yet. */
   rejectUnsent(): void {
     for (const rejectHandler of [...this.rejectHandlers]) rejectHandler();
   }
 
-  /** Has each answer that has not begun close its connection. */
+  /** Makes each answer that has not begun close its connection. */
   closeConnectionsAfterAnswers(): void {
     for (const outgoing of this.openResponses) {
       if (!outgoing.headersSent) outgoing.setHeader('Connection', 'close');
--- a/packages/gateway/src/gateway-peer-request-handler.ts
+++ b/packages/gateway/src/gateway-peer-request-handler.ts
@@ -13,7 +13,7 @@
 import type {CachedPromptsReader} from './cached-prompts-reader.ts';
 import type {GatewayLifecycle} from './gateway-lifecycle.ts';
 
-/** What answers to peers are made from. */
+/** Dependencies of GatewayPeerRequestHandler. */
 export interface GatewayPeerRequestHandlerParts {
   readonly coordinator: StageCoordinator;
   readonly directory: EngineDirectory;
@@ -26,7 +26,7 @@
   readonly freshnessGuard: FreshnessGuard;
 }
 
-/** Questions that are decided by the view of the store. */
+/** Types of requests whose answers depend on the view of the store. */
 const STORE_VIEW_REQUESTS: ReadonlySet<PeerRequest['type']> = new Set([
   'stage-job',
   'stage-admit',
@@ -39,7 +39,7 @@
   message: 'this instance is stopping',
 };
 
-/** Answers what peers ask of a gateway. */
+/** Answers requests and applies notifications of peers. */
 export class GatewayPeerRequestHandler {
   private readonly parts: GatewayPeerRequestHandlerParts;
 
--- a/packages/gateway/src/gateway-request-handler.ts
+++ b/packages/gateway/src/gateway-request-handler.ts
@@ -24,7 +24,7 @@
 import type {RouteHolder} from './route-holder.ts';
 import {RoutedRequest} from './routed-request.ts';
 
-/** What the front works with. */
+/** Dependencies of GatewayRequestHandler. */
 export interface GatewayRequestHandlerParts {
   readonly clock: Clock;
   readonly logger: EventLogger;
@@ -38,35 +38,34 @@
 }
 
 /**
- * Milliseconds after which a caller may come back to an instance that knows no
- * configuration. Outages of the store take seconds, and a caller heeds no more
- * than a third of its time; 2 s is that third for the shorter generations.
+ * Milliseconds after which a caller may retry at an instance without a configuration. Store
+ * outages last seconds, and a caller accepts a delay of at most a third of its deadline; 2 s
+ * is that third for the shorter generation requests.
  */
 const NOT_READY_RETRY_AFTER_MS = 2000;
 /**
- * Milliseconds of an instance's life in which a request waits for its
- * configuration and coordinator instead of being refused. Both are there some
- * 300 ms after the start where the store or a peer answers; a caller that is
- * refused comes back 2 s later.
+ * Milliseconds after the start during which a request waits for the configuration and the
+ * coordinator instead of being rejected. Both are known some 300 ms after the start if the
+ * store or a peer answers, whereas a rejected caller retries only 2 s later.
  */
 const MAX_START_WAIT_MS = 800;
-/** Refusals that say that this instance does not know what the request names. */
+/** Errors for a route or key that this instance does not know; its view may be stale. */
 const UNKNOWN_KINDS: ReadonlySet<ErrorKind> = new Set([
   'not-found',
   'unauthorized',
 ]);
-/** Another instance takes the request at once. */
+/** Milliseconds after which a caller may retry; short, as another instance can take it at once. */
 const OTHER_INSTANCE_RETRY_AFTER_MS = 50;
 const DRAW_SCALE = 0x1_0000_0000;
 
-/** A request that the configuration allows. */
+/** Route and workspace of a request that the configuration allows. */
 interface AdmittedRequest {
   readonly table: RouteTable;
   readonly route: Route;
   readonly workspace: KeyedWorkspace | undefined;
 }
 
-/** Takes routed requests: finds their route and workspace, and runs them. */
+/** Handles routed requests: determines their route and workspace, and runs them. */
 export class GatewayRequestHandler {
   private readonly parts: GatewayRequestHandlerParts;
   private readonly startedAtMs: number;
@@ -77,7 +76,7 @@
     this.startedAtMs = parts.clock.getNow();
   }
 
-  /** Answers one request; never rejects. */
+  /** Answers one request; never rejects, since errors are sent to the caller. */
   async handle(
     incoming: IncomingMessage,
     outgoing: ServerResponse,
@@ -125,12 +124,12 @@
         table,
       );
     } catch (thrown) {
-      this.settleRefusal(toHollowstackError(thrown), requestId, outgoing);
+      this.settleRejection(toHollowstackError(thrown), requestId, outgoing);
     }
   }
 
-  // Asked once the body has come: to close over unread bytes would reset the
-  // connection, and the caller might never see the answer.
+  // Called after the body was read: closing a connection with unread bytes resets it, and the
+  // caller might not receive the answer.
   private checkAccepting(): void {
     if (!this.parts.lifecycle.isClosing()) return;
     throw createStoppingError();
@@ -293,7 +292,7 @@
     });
   }
 
-  private settleRefusal(
+  private settleRejection(
     error: HollowstackError,
     requestId: string | undefined,
     outgoing: ServerResponse,
@@ -319,8 +318,8 @@
   }
 }
 
-// A later step that did not run says nothing of an attempt before it that may
-// have: what the request knows goes first.
+// An error of a later step may state that nothing was run although an earlier attempt may
+// have run the request: the status recorded by the request takes precedence.
 function createErrorWithRunStatus(
   error: HollowstackError,
   request: RoutedRequest,
@@ -337,7 +336,7 @@
   });
 }
 
-// The draw follows from the request's id, so that it can be told afterwards.
+// Derived from the request's id, so that the choice of the service can be reproduced.
 function computeDraw(requestId: string): number {
   const digest = createHash('sha1').update(requestId).digest();
   return digest.readUInt32BE(0) / DRAW_SCALE;
--- a/packages/gateway/src/gateway-server.ts
+++ b/packages/gateway/src/gateway-server.ts
@@ -7,21 +7,18 @@
   type ServerResponse,
 } from 'node:http';
 
-/** Answers one exchange. */
+/** Handles one HTTP request; sends the answer to `outgoing`. */
 export type HttpRequestListener = (
   incoming: IncomingMessage,
   outgoing: ServerResponse,
 ) => void;
 
-/**
- * Milliseconds between two looks at callers that are slow to send; a sixth
- * of the usual limit.
- */
+/** Milliseconds between two checks for callers that send slowly; a sixth of the usual limit. */
 const CHECK_INTERVAL_MS = 500;
-/** A body may take longer than its head. */
+/** Milliseconds for a complete request; a body may take longer than the headers. */
 const BODY_TIMEOUT_MS = 30_000;
 
-/** The HTTP server of routed requests; its limits follow the configuration. */
+/** The HTTP server for routed requests; its limits follow the configuration. */
 export class GatewayServer {
   private readonly server: Server;
 
@@ -37,9 +34,9 @@
     this.server.timeout = 0;
   }
 
-  /** Takes the limits for connections that are opened from now on. */
+  /** Sets the limits of connections that are opened from now on. */
   setLimits(limits: CallerLimits): void {
-    // Node reads these for each new connection.
+    // Node.js reads these for each new connection.
     Object.assign(this.server, {maxHeaderSize: limits.headerBytes});
     this.server.headersTimeout = limits.headerTimeoutMs;
     this.server.keepAliveTimeout = limits.idleTimeoutMs;
@@ -58,7 +55,7 @@
     this.server.closeIdleConnections();
   }
 
-  /** Stops taking connections, and cuts those that are left. */
+  /** Stops accepting connections and closes all open ones. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
--- a/packages/gateway/src/gateway-settings.ts
+++ b/packages/gateway/src/gateway-settings.ts
@@ -3,10 +3,7 @@
 import {addressSchema} from '@hollowstack/types';
 import {z} from 'zod';
 
-/**
- * Characters of a secret between instances, at least; 16 of them cannot be
- * guessed.
- */
+/** Minimum length of a secret in characters; 16 random characters cannot be guessed. */
 const MIN_SECRET_LENGTH = 16;
 
 const peerKeySchema = z.object({
@@ -17,94 +14,94 @@
 });
 
 /**
- * Switches of single mechanisms, so that their worth can be measured by leaving
- * one out. All are on unless a measurement asks for it.
+ * Switches of single mechanisms, so that the effect of each can be measured by disabling it.
+ * All are enabled by default.
  */
 export const policySettingsSchema = z.object({
-  /** Starts stages with large results no earlier than their request needs them. */
+  /** Starts stages with large results as late as their request allows. */
   latestStart: z.boolean().default(true),
-  /** Releases a resumable stream's inputs at its first event, not at its end. */
+  /** Releases the inputs of a resumable stream at its first event, not at its end. */
   earlyRelease: z.boolean().default(true),
-  /** Gives stage results back while the call that has read them still works. */
+  /** Releases stage results once a call has read them, before that call ends. */
   readRelease: z.boolean().default(true),
-  /** Chooses engines by the time that a request can spare, see docs/design. */
+  /** Chooses engines by the slack of a request, see docs/design. */
   slackPlacing: z.boolean().default(true),
-  /** Names held stage results in the store, so that a next coordinator can give them back. */
+  /** Records stage results in the store, so that a later coordinator can release them. */
   resultCheckpoints: z.boolean().default(true),
 });
-/** Switches of single mechanisms. */
+/** Switches of single mechanisms; all have defaults. */
 export type PolicySettings = z.infer<typeof policySettingsSchema>;
 
 /**
- * The settings of one gateway. Durations are in the unit of their name. Fields that are
- * not known are passed over, since a platform may add to them.
+ * The settings of one gateway. Each duration has the unit in its name. Unknown fields are
+ * ignored, since a platform may add its own.
  */
 export const gatewaySettingsSchema = z.object({
   instance: z.object({
     id: z.string().min(1),
     /** Failure domain. */
     failureDomain: z.string().min(1),
-    /** Share of a core that it may use. */
+    /** Share of a CPU core that the instance may use. */
     cpuShare: z.number().positive().default(1),
-    /** Speed of that core over a usual one. */
+    /** Speed of such a core relative to a typical one. */
     cpuSpeed: z.number().positive().default(1),
   }),
   listen: z.object({
-    /** Where callers come. */
+    /** Address for callers. */
     address: addressSchema,
-    /** Where the balancer asks whether the instance is ready. */
+    /** Address for the readiness probes of the load balancer. */
     probeAddress: addressSchema,
-    /** Where peers come. */
+    /** Address for peers. */
     peerAddress: addressSchema,
-    /** Address that peers are told, where it is another one (a mapped port). */
+    /** Address announced to peers if it differs from peerAddress (a mapped port). */
     advertisedPeerAddress: addressSchema.optional(),
-    /** Where counters and histograms are read. */
+    /** Address for metrics and operator calls; without it, neither is served. */
     metricsAddress: addressSchema.optional(),
   }),
   store: z.object({
     address: addressSchema,
-    /** Milliseconds for one answer; a slow store takes some 240 ms. */
+    /** Time-out of one store call in milliseconds; a slow store takes some 240 ms. */
     timeoutMs: z.number().positive().default(1000),
     /**
-     * Milliseconds in which a change of the upstreams must be in force here. Every
-     * wait on the way of a change is a part of it, see docs/platform-design.md.
+     * Milliseconds in which a change of the upstreams must be in force here. Every delay in
+     * the propagation of a change counts towards it, see docs/platform-design.md.
      */
     followWithinMs: z.number().positive().default(2000),
     /**
-     * Milliseconds in which a configuration must be; the shorter one binds both.
-     * By default the 20 s that operators are promised.
+     * Milliseconds in which a configuration must be in force; the shorter of both limits
+     * applies to both. The default is the 20 s that operators are promised.
      */
     configureWithinMs: z.number().positive().default(20_000),
     /**
-     * Milliseconds in which the evacuation of a failure domain must be; the
-     * shortest of the three binds all. The default binds nothing.
+     * Milliseconds in which the evacuation of a failure domain must be in force; the
+     * shortest of the three limits applies to all. The default does not shorten any.
      */
     evacuateWithinMs: z.number().positive().default(20_000),
   }),
   peers: z.object({
-    /** Addresses to ask while the store is down. */
+    /** Peer addresses to contact while the store is unavailable. */
     seeds: z.array(addressSchema).default([]),
     keys: z.array(peerKeySchema).min(1),
   }),
   operators: z
     .object({
-      /** Bearer tokens for operators' calls at the metrics address; without any, none is taken. */
+      /** Bearer tokens for operator calls at the metrics address; without any, all are rejected. */
       keys: z.array(z.string().min(MIN_SECRET_LENGTH)).default([]),
     })
     .prefault({}),
   retries: z
     .object({
-      /** Retries for each request, over all instances. */
+      /** Retries allowed for each request, over all instances. */
       ratio: z.number().nonnegative().default(0.2),
       windowSeconds: z.number().positive().default(10),
-      /** Retries beside the ratio, over all instances. */
+      /** Retries allowed in addition to the ratio, over all instances. */
       burst: z.number().nonnegative().default(50),
     })
     .prefault({}),
   policy: policySettingsSchema.prefault({}),
   drain: z
     .object({
-      /** Time for a planned stop, after which the process is killed. */
+      /** Seconds for a planned stop, after which the process is killed. */
       limitSeconds: z.number().positive().default(8),
     })
     .prefault({}),
@@ -115,14 +112,14 @@
     })
     .prefault({}),
 });
-/** The settings of one gateway. */
+/** The settings of one gateway, with defaults applied. */
 export type GatewaySettings = z.infer<typeof gatewaySettingsSchema>;
 
 /**
  * Parses a settings file.
  *
- * @param path Shown in errors.
- * @throws HollowstackError `configuration-invalid` with path, line or place.
+ * @param path Path of the file, used in error messages.
+ * @throws HollowstackError `configuration-invalid` with the path and the line or field.
  */
 export function parseGatewaySettings(
   text: string,
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -20,20 +20,20 @@
 import type {StoreFollower} from './store-follower.ts';
 import type {UpstreamRegistry} from './upstream-registry.ts';
 
-/** A request of the balancer, of a collector of metrics, or of an operator. */
+/** A request of the load balancer, a metrics collector or an operator. */
 interface PlainRequest {
   readonly path: string;
   readonly method: string;
   readonly headers: IncomingHttpHeaders;
 }
 
-/** Work that begins with the start's end and goes on until it is stopped. */
+/** Background work that starts once the gateway is ready and runs until it is stopped. */
 export interface CoordinatorTask {
   start(): Promise<void>;
   stop(): void;
 }
 
-/** The running parts of a gateway. */
+/** Components and settings of a gateway. */
 export interface GatewayParts {
   readonly settings: GatewaySettings;
   readonly clock: Clock;
@@ -53,39 +53,37 @@
   readonly backOffs: BackOffTable;
   readonly granter: SendGranter;
   readonly coordinator: StageCoordinator;
-  /** What a coordinator does for all; run from the end of the start on. */
+  /** Tasks that the coordinator runs for all instances; started once the gateway is ready. */
   readonly coordinatorTasks: readonly CoordinatorTask[];
   readonly server: GatewayServer;
   readonly operatorEndpoint: OperatorEndpoint;
   readonly probePath: string;
 }
 
-/** Milliseconds between two looks whether a start is complete. */
+/** Milliseconds between two checks whether the start is complete. */
 const START_POLL_MS = 20;
 /**
- * Milliseconds that a start waits for the coordinator beyond what it must know;
- * most of a question to one that has started at the same time.
+ * Milliseconds that a start waits for the coordinator search after routes and upstreams are
+ * loaded; covers most of a request to a coordinator that started at the same time.
  */
 const COORDINATOR_SEARCH_TIMEOUT_MS = 300;
-/** The balancer goes on sending until it has missed the instance twice. */
+/** Milliseconds until the load balancer stops sending; it needs two failed probes. */
 const BALANCER_LAG_MS = 2600;
-/** Milliseconds between two looks whether a planned stop is over. */
+/** Milliseconds between two checks whether a planned stop is complete. */
 const DRAIN_POLL_MS = 50;
-/** What is left of the stop's time for the process to end in. */
+/** Milliseconds of the time for a planned stop that are reserved for the process to exit. */
 const DRAIN_MARGIN_MS = 1000;
 /**
- * Before the stop's time is over, requests that no upstream has seen are
- * refused rather than cut; this is the time in which the refusals go out.
+ * Milliseconds before the end of a planned stop at which requests that were sent to no
+ * upstream are rejected instead of cut off; suffices to send the rejections.
  */
 const REJECTION_MARGIN_MS = 500;
-/**
- * Milliseconds between two ticks by which a pause of the process is noticed.
- */
+/** Milliseconds between two checks whether the process was paused. */
 const PAUSE_CHECK_INTERVAL_MS = 250;
-/** Milliseconds without a tick after which the process must have stood still. */
+/** Delay of a check, in milliseconds, from which the process counts as paused. */
 const MIN_PAUSE_MS = 1000;
 
-/** One instance that serves routed requests. */
+/** An instance that serves routed requests. */
 export class Gateway {
   private readonly parts: GatewayParts;
   private readonly plainServers: Server[] = [];
@@ -95,7 +93,7 @@
     this.parts = parts;
   }
 
-  /** Starts all parts and resolves once a configuration and the upstreams are known. */
+  /** Starts all components and resolves once a configuration and the upstreams are loaded. */
   async start(): Promise<void> {
     const {parts} = this;
     const {settings, logger, clock, lifecycle} = parts;
@@ -111,7 +109,7 @@
     void parts.coordinatorSearch.start();
     this.startPauseDetection();
     const isEnding = () => this.isStopped || lifecycle.isStopping();
-    // An instance that knows routes but no upstreams could only refuse.
+    // With routes but without upstreams, every request would be rejected.
     const isLoaded = () =>
       parts.routeHolder.getCurrent() !== undefined && parts.registry.isLoaded();
     while (!isLoaded() && !isEnding()) {
@@ -123,16 +121,17 @@
       await waitFor(clock, START_POLL_MS);
     }
     if (isEnding()) return;
-    // Before, each instance takes itself for the coordinator.
+    // Not earlier: until the coordinator search has settled, each instance regards itself as
+    // the coordinator.
     for (const task of parts.coordinatorTasks) void task.start();
     lifecycle.setState('ready');
     logger.logEvent('entry.ready', {revision: parts.routeHolder.getRevision()});
   }
 
   /**
-   * Stops without cutting a request: probes say so at once, the list of peers no
-   * longer names this instance, requests are served while the balancer still
-   * sends them, and those in progress end.
+   * Stops without cutting off requests: readiness probes fail at once, the membership no
+   * longer lists this instance, requests are served while the load balancer still sends
+   * them, and requests in progress are completed within `drain.limitSeconds`.
    */
   async drain(): Promise<void> {
     const {clock, logger, lifecycle, membership, coordinator, server} =
@@ -157,8 +156,8 @@
     while (!isOver()) {
       await waitFor(clock, DRAIN_POLL_MS);
       if (clock.getNow() - startedAtMs < BALANCER_LAG_MS) continue;
-      // A balancer with few others goes on sending; what it sends now would not
-      // be over in time.
+      // A load balancer with few other instances keeps sending; these requests would not be
+      // complete in time, so they are rejected.
       lifecycle.setState('closing');
       server.closeIdleConnections();
       const passedMs = clock.getNow() - startedAtMs;
@@ -169,7 +168,7 @@
     this.stop();
   }
 
-  /** Stops every part at once. */
+  /** Stops every component at once and closes all connections. */
   stop(): void {
     const {parts} = this;
     this.isStopped = true;
@@ -231,8 +230,8 @@
     });
   }
 
-  // What waited here through a pause has been submitted elsewhere since, and what is known
-  // of the store is as old as the pause.
+  // After a pause, waiting stage jobs have meanwhile been submitted to another coordinator,
+  // and the view of the store is as old as the pause.
   private startPauseDetection(): void {
     const {clock, coordinator, logger, freshnessGuard} = this.parts;
     let tickedAtMs = clock.getNow();
--- a/packages/gateway/src/header-list.test.ts
+++ b/packages/gateway/src/header-list.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {listEndToEndHeaders} from './header-list.ts';
 
-test('headers of one connection stay behind, the others keep order and spelling', () => {
+test('hop-by-hop headers are dropped, the others keep order and spelling', () => {
   assert.deepEqual(
     listEndToEndHeaders(
       [
@@ -27,7 +27,7 @@
   );
 });
 
-test('a caller cannot have the host or the length dropped by naming them', () => {
+test('a Connection header that lists host and length does not remove them', () => {
   const headers = [
     'Connection',
     'host, content-length',
--- a/packages/gateway/src/header-list.ts
+++ b/packages/gateway/src/header-list.ts
@@ -1,4 +1,4 @@
-/** Names that concern one connection only, in small letters. */
+/** Names of hop-by-hop headers, in lower case. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -12,11 +12,11 @@
 ]);
 
 /**
- * Copies headers that are passed on: those that concern one connection, those
- * that `Connection` names and those in `dropped` stay behind.
+ * Copies the headers that are forwarded: all but hop-by-hop headers, those that
+ * `Connection` lists and those in `dropped`. Order and spelling are preserved.
  *
- * @param rawHeaders Names and values in turn.
- * @param dropped Names in small letters.
+ * @param rawHeaders Alternating names and values.
+ * @param dropped Names in lower case.
  */
 export function listEndToEndHeaders(
   rawHeaders: readonly string[],
@@ -41,7 +41,7 @@
       names.add(name.trim().toLowerCase());
     }
   }
-  // What decides how a request is framed and routed is never dropped by a name.
+  // A `Connection` header must not remove headers that control framing and routing.
   for (const protectedName of ['host', 'content-length', 'content-type']) {
     names.delete(protectedName);
   }
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** The front of routed services: requests that are passed on as they are. */
+/** Gateway for routed services: forwards requests to upstreams unchanged. */
 export {Gateway, type GatewayParts} from './gateway.ts';
 export {createGateway, type GatewayEnvironment} from './create-gateway.ts';
 export {
--- a/packages/gateway/src/operator-endpoint.test.ts
+++ b/packages/gateway/src/operator-endpoint.test.ts
@@ -33,7 +33,7 @@
   return {suspects, call};
 }
 
-test('quarantined requests are listed with what is held against them', t => {
+test('quarantined requests are listed with the crashes attributed to them', t => {
   const {call} = createEndpoint();
   t.assert.snapshot(call('GET', PATH));
 });
@@ -47,14 +47,14 @@
   ]);
 });
 
-test('a release names its request, and a second one finds none', () => {
+test('a released request is no longer quarantined, and a second release fails', () => {
   const {suspects, call} = createEndpoint();
   assert.equal(call('DELETE', `${PATH}/f1`).status, 200);
   assert.equal(suspects.isQuarantined('f1'), false);
   assert.equal(call('DELETE', `${PATH}/f1`).status, 404);
 });
 
-test('calls without a known key change nothing, and say what to do', () => {
+test('calls without a known key change nothing, and the answer names the setting', () => {
   const {suspects, call} = createEndpoint();
   assert.equal(call('DELETE', `${PATH}/f1`, 'wrong').status, 401);
   assert.equal(suspects.isQuarantined('f1'), true);
@@ -63,7 +63,7 @@
   assert.match(answer.detail, /operators\.keys/);
 });
 
-test('what is no call is answered 404', () => {
+test('unknown calls are answered with 404', () => {
   const {call} = createEndpoint();
   const paths = ['/v1/operator/', '/v1/operator/other', `${PATH}/`];
   for (const path of paths) assert.equal(call('DELETE', path).status, 404);
--- a/packages/gateway/src/operator-endpoint.ts
+++ b/packages/gateway/src/operator-endpoint.ts
@@ -3,7 +3,7 @@
 import {hasBearerKey} from '@hollowstack/transport';
 import type {LimitTable} from '@hollowstack/upstream-limits';
 
-/** Path below which operators' calls are served. */
+/** Path prefix of operator calls. */
 export const OPERATOR_PATH = '/v1/operator/';
 
 /** A call of an operator. */
@@ -14,7 +14,7 @@
   readonly authorization: string | undefined;
 }
 
-/** An answer with a body of JSON. */
+/** Answer to an operator call; `text` is JSON. */
 export interface OperatorAnswer {
   readonly status: number;
   readonly text: string;
@@ -24,7 +24,7 @@
 export interface OperatorEndpointParts {
   readonly suspects: Pick<SuspectTable, 'listVerdicts' | 'releaseRequest'>;
   readonly limits: Pick<LimitTable, 'listLimited'>;
-  /** Bearer tokens that are taken; without any, no call is. */
+  /** Accepted bearer tokens; without any, all calls are rejected. */
   readonly keys: readonly string[];
 }
 
@@ -33,7 +33,7 @@
 /** HTTP status. */
 const OK = 200;
 
-/** Answers operators' calls to a gateway. */
+/** Answers the calls of operators to a gateway. */
 export class OperatorEndpoint {
   private readonly parts: OperatorEndpointParts;
 
@@ -41,7 +41,7 @@
     this.parts = parts;
   }
 
-  /** Answers a call; never throws. */
+  /** Answers a call; errors that a caller may see become an answer. */
   answerCall(call: OperatorCall): OperatorAnswer {
     try {
       this.checkKey(call);
--- a/packages/gateway/src/releasable-inputs.ts
+++ b/packages/gateway/src/releasable-inputs.ts
@@ -2,10 +2,10 @@
 import type {AttemptInputs} from './attempt.ts';
 import type {RoutedRequest} from './routed-request.ts';
 
-/** Milliseconds after which to come back where no upstream is left. */
+/** Milliseconds after which a caller may retry if no upstream is left. */
 export const UNAVAILABLE_RETRY_AFTER_MS = 300;
 
-/** Inputs of an attempt that know whether they were released. */
+/** Inputs of an attempt that are released at most once and record that they were. */
 export class ReleasableInputs implements AttemptInputs {
   readonly header: string;
   isReleased = false;
@@ -23,7 +23,7 @@
   }
 }
 
-/** The next attempt needs stage results that are gone, and may be made. */
+/** Another attempt is allowed, but its stage results are lost and must be recomputed. */
 export class InputsLostError extends HollowstackError {
   constructor(reason: string, request: RoutedRequest) {
     super('upstream-unavailable', reason, {
--- a/packages/gateway/src/request-age-estimator.test.ts
+++ b/packages/gateway/src/request-age-estimator.test.ts
@@ -15,7 +15,7 @@
     estimator.recordDeadline(ROUTE, deadlineMs);
 }
 
-test('a caller that gives less time than others of its route has asked before', () => {
+test('a deadline shorter than the usual one of the route indicates a retry', () => {
   const estimator = new RequestAgeEstimator();
   recordDeadlines(estimator, Array<number>(12).fill(9000));
   assert.equal(estimator.computeAgeMs(ROUTE, 9000), 0);
@@ -23,7 +23,7 @@
   assert.equal(estimator.computeAgeMs(ROUTE, 7400), 1600);
 });
 
-test('callers that differ by themselves count as asking for the first time', () => {
+test('widely varying deadlines are not taken for retries', () => {
   const estimator = new RequestAgeEstimator();
   recordDeadlines(
     estimator,
@@ -32,8 +32,8 @@
   assert.equal(estimator.computeAgeMs(ROUTE, 5000), 0);
 });
 
-test('before anything was learnt a caller counts as asking for the first time', () => {
-  // Callers of one route who give 10.2 to 12 s of 12, by themselves.
+test('no age is estimated before enough deadlines were recorded', () => {
+  // First attempts of one route, with deadlines from 10.2 to 12 s.
   const deadlines = [11_200, 10_241, 11_998, 10_408, 11_163, 10_900, 11_700];
   const estimator = new RequestAgeEstimator();
   for (const deadlineMs of deadlines) {
--- a/packages/gateway/src/request-age-estimator.ts
+++ b/packages/gateway/src/request-age-estimator.ts
@@ -1,40 +1,40 @@
 import type {Route} from '@hollowstack/routes';
 
-/** Deadlines kept for each route. */
+/** Number of recent deadlines stored for each route. */
 const MAX_SAMPLES = 16;
-/** Deadlines of a route from which on its usual one counts as known. */
+/** Number of deadlines of a route below which no age is estimated. */
 const MIN_SAMPLES = 8;
 /**
- * Share by which deadlines of first attempts differ; those of one kind of
- * caller are alike but for a part of a percent.
+ * Share by which a deadline may fall short of the usual one and still count as a first
+ * attempt's; callers of one kind differ by less than a percent.
  */
 const DEADLINE_TOLERANCE = 0.02;
-/** Share of the samples that must be usual, or callers differ by themselves. */
+/** Minimum share of usual samples; below it, first attempts have no common deadline. */
 const MIN_USUAL_SHARE = 0.5;
-/** What the age of a request depends on beside its callers. */
+/** The route whose deadlines are compared. */
 export type RouteIdentity = Pick<Route, 'name'>;
 
 /**
- * Tells how long ago a caller first asked. One that asks again gives the time
- * that it still has, less than others of its route give at first; what is due
- * counts from its first attempt. So a request that can no longer be in time does
- * not hold up one that can, as after a loss of all instances, when callers whose
- * connections broke ask again.
+ * Estimates how long ago a caller made its first attempt. A retry states the time that is
+ * left, which is less than the usual deadline of first attempts on the same route, and its
+ * objective counts from the first attempt. So requests that can no longer be in time do
+ * not delay those that can, for example after the loss of all instances, when callers
+ * with broken connections retry.
  */
 export class RequestAgeEstimator {
   private readonly samples = new Map<string, number[]>();
 
   /**
-   * Computes how long ago the first attempt was.
+   * Computes the time since the caller's first attempt.
    *
    * @param deadlineMs Milliseconds that the caller still waits.
-   * @returns Milliseconds; 0 where nothing speaks for an earlier attempt.
+   * @returns Milliseconds; 0 if nothing indicates an earlier attempt.
    */
   computeAgeMs(route: RouteIdentity, deadlineMs: number): number {
     return computeAge(this.samples.get(route.name) ?? [], deadlineMs);
   }
 
-  /** Notes the deadline that a caller gave. */
+  /** Records the deadline of a request, in milliseconds. */
   recordDeadline(route: RouteIdentity, deadlineMs: number): void {
     const samples = this.samples.get(route.name) ?? [];
     samples.push(deadlineMs);
@@ -43,10 +43,10 @@
   }
 }
 
-// Before some were seen nothing is known of what is usual: callers may differ by a sixth
-// of their time, which is more than many objectives. Taken for the time since a first
-// attempt, it made one of five requests late before it had begun (61 instances that see
-// some 40 requests of a route each).
+// With few samples the usual deadline is unknown: deadlines of first attempts may differ by
+// a sixth, which is more than many objectives. Taking that difference for an age made one
+// of five requests late before it began (61 instances, each with some 40 requests of a
+// route).
 function computeAge(samples: readonly number[], deadlineMs: number): number {
   if (samples.length < MIN_SAMPLES) return 0;
   const usualMs = Math.max(...samples);
--- a/packages/gateway/src/request-body.ts
+++ b/packages/gateway/src/request-body.ts
@@ -3,10 +3,10 @@
 import type {IncomingMessage} from 'node:http';
 
 /**
- * Reads the whole body of a caller's request; undefined where it has none.
+ * Reads the complete body of a caller's request; undefined if it has none.
  *
- * @throws HollowstackError `caller-gone` where it breaks off, `payload-too-large`
- * over the limit.
+ * @throws HollowstackError `caller-gone` if the body breaks off, `payload-too-large` if it
+ * exceeds `limits.bodyBytes`.
  */
 export async function readRequestBody(
   incoming: IncomingMessage,
--- a/packages/gateway/src/request-protocol.ts
+++ b/packages/gateway/src/request-protocol.ts
@@ -4,36 +4,36 @@
   RoutedConfiguration,
 } from '@hollowstack/routes';
 
-/** Names of the headers that the gateway reads and sets, in small letters. */
+/** Names of the headers that the gateway reads and sets, in lower case. */
 export interface RequestHeaderNames {
-  /** Names one client attempt; every answer carries it back. */
+  /** Id of one attempt of a client; every answer returns it. */
   readonly requestId: string;
-  /** Milliseconds that the sender will wait. */
+  /** Milliseconds that the sender waits for the answer. */
   readonly deadlineMs: string;
-  /** The key a caller presents. */
+  /** API key of the caller. */
   readonly callerKey: string;
-  /** The workspace of the key, for upstreams. */
+  /** Name of the key's workspace, for upstreams. */
   readonly workspace: string;
-  /** The upstream that alone may run the request. */
+  /** The only upstream that may run the request. */
   readonly targetUpstream: string;
-  /** On an answer: the upstream has not run the request. */
+  /** On an answer: the upstream guarantees that it has not run the request. */
   readonly notRun: string;
-  /** On an answer: what proves that it is the upstream's own. */
+  /** On an answer: signature that proves that the upstream created it. */
   readonly signature: string;
-  /** The parts of the prompt in their order. */
+  /** The parts of the prompt in order. */
   readonly promptParts: string;
   readonly priority: string;
-  /** The last event a resumed stream has. */
+  /** Id of the last event that the caller of a resumed stream has received. */
   readonly lastEventId: string;
-  /** Pieces of each stage. */
+  /** Number of pieces of each stage. */
   readonly stageCounts: string;
-  /** What the pieces of stages without inputs are made from. */
+  /** Key from which stages without inputs compute their pieces. */
   readonly stageKey: string;
-  /** Handles of the results that the request reads. */
+  /** Handles of the stage results that the request reads. */
   readonly stageInputs: string;
 }
 
-/** An entry of the store that names no upstream to use; others may write there too. */
+/** A store entry that describes no usable upstream; other programs may write there as well. */
 export class UnreadableEntryError extends Error {
   constructor(reason: string) {
     super(reason);
@@ -41,19 +41,19 @@
   }
 }
 
-/** How requests, configuration and registrations are written; an adapter gives names and formats. */
+/** Formats of requests, configurations and registrations; an adapter defines them. */
 export abstract class RequestProtocol {
   abstract readonly headers: RequestHeaderNames;
   /**
-   * Names, in small letters, of all headers that only this system may send to
-   * an upstream. A caller's header of that name is dropped.
+   * Names, in lower case, of all headers that only this system may send to an upstream. A
+   * caller's header with such a name is dropped.
    */
   abstract readonly systemHeaders: ReadonlySet<string>;
-  /** Path at which the balancer asks whether this instance is ready. */
+  /** Path of the readiness probe. */
   abstract readonly probePath: string;
-  /** Store prefix of everything that operators write. */
+  /** Store prefix of all entries that operators write. */
   abstract readonly operatorPrefix: string;
-  /** Below it, a key named after a failure domain evacuates that domain. */
+  /** Store prefix under which a key named after a failure domain evacuates that domain. */
   abstract readonly evacuationPrefix: string;
   /** Store key of the newest routed configuration. */
   abstract readonly configurationKey: string;
@@ -64,12 +64,12 @@
   abstract parseStageCounts(value: string): number[];
   abstract renderStageInputs(handles: readonly string[]): string;
 
-  /** @throws HollowstackError `configuration-invalid` with the place. */
+  /** @throws HollowstackError `configuration-invalid` with the field. */
   abstract parseConfiguration(text: string): RoutedConfiguration;
 
-  /** Renders the upstream that alone may run a request, for the header. */
+  /** Renders the value of the header targetUpstream. */
   abstract renderTargetUpstream(id: string): string;
 
-  /** @throws UnreadableEntryError for an entry that names no upstream to use. */
+  /** @throws UnreadableEntryError for an entry that describes no usable upstream. */
   abstract parseUpstream(key: string, text: string): RegisteredUpstream;
 }
--- a/packages/gateway/src/request-runner.ts
+++ b/packages/gateway/src/request-runner.ts
@@ -35,26 +35,26 @@
   readonly retryBudget: WindowRetryBudget;
   readonly quarantine: RequestQuarantine;
   readonly policy: PolicySettings;
-  /** How long the stages of each route take, as this instance has seen. */
+  /** Durations of the stages of each route, as observed by this instance. */
   readonly stageDurations: DurationEstimator;
 }
 
 /**
- * Shared tokens from which on reading them again costs more than moving stage
- * results between failure domains: the upstream is then chosen first.
+ * Number of shared tokens from which prefilling them again costs more than moving stage
+ * results between failure domains. The engine is then chosen before the stages run.
  */
 const AFFINITY_FIRST_TOKENS = 4000;
 /**
- * Share of the route's time that a caller must have left to be told to come
- * back; one that has less is let in, since it has no time for another attempt.
+ * Share of the route's time-out that a caller must have left to be rejected with a request
+ * to retry. A caller with less has no time for a retry and is admitted.
  */
 const MIN_RETRY_TIME_SHARE = 0.1;
 const NO_BYTES: ReadonlyMap<string, number> = new Map();
 
-/** Times that the stages of one request run again after their results were lost. */
+/** Maximum number of times that the stages of a request run again after lost results. */
 const MAX_STAGE_RERUNS = 2;
 
-/** Runs one routed request: admission, its stages, and the attempts at its upstreams. */
+/** Runs routed requests: admission, stages and the attempts at upstreams. */
 export class RequestRunner {
   private readonly parts: RequestRunnerParts;
 
@@ -62,7 +62,7 @@
     this.parts = parts;
   }
 
-  /** Resolves once the answer is on its way to its end. @throws HollowstackError */
+  /** Resolves once the answer is handed to the caller's connection. @throws HollowstackError */
   async run(request: RoutedRequest, table: RouteTable): Promise<void> {
     const {protocol, retryBudget} = this.parts;
     const promptParts = request.listPromptParts(protocol);
@@ -88,7 +88,7 @@
       promptParts.at(-1)?.tokens ?? 0,
     );
     try {
-      // Both ask the coordinator, neither needs the other's answer.
+      // Both ask the coordinator, independently of each other.
       const [predictedMs, failureDomain] = await Promise.all([
         stages.admit(),
         this.predictFailureDomain(request, promptParts),
@@ -119,7 +119,7 @@
     }
   }
 
-  // Nothing is made for a request that no upstream could take in the end.
+  // No stage runs for a request that no upstream could take afterwards.
   private checkAvailability(request: RoutedRequest): void {
     const {pool} = this.parts;
     const unavailability = pool.findShortage(request.facts.service);
@@ -131,7 +131,7 @@
     });
   }
 
-  // Upstreams that want no work now may want some by the time the stages are done.
+  // Upstreams that back off now may accept work again when the stages are complete.
   private isOverBeforeStagesEnd(
     {waitMs}: Unavailability,
     {facts}: RoutedRequest,
@@ -176,8 +176,8 @@
     }
   }
 
-  // Where much of the prompt is shared, the engine that keeps it is worth more
-  // than where the stages would like to run.
+  // If much of the prompt is shared, the stages run in the failure domain of the engine that
+  // has it cached: the cache saves more than the stages' preferred domain.
   private async predictFailureDomain(
     request: RoutedRequest,
     promptParts: readonly PromptPart[],
@@ -220,7 +220,7 @@
         ownTokens,
         defersLargeStages: policy.latestStart,
         isIsolated: quarantine.isIsolated(request),
-        // A caller that came back once may not do so again.
+        // A caller that has retried once may not retry again, so it is not rejected here.
         mayRetry:
           facts.ageMs === 0 &&
           facts.deadlineAtMs - nowMs >= MIN_RETRY_TIME_SHARE * route.timeoutMs,
--- a/packages/gateway/src/routed-request.ts
+++ b/packages/gateway/src/routed-request.ts
@@ -8,7 +8,7 @@
 import type {RequestProtocol} from './request-protocol.ts';
 import type {RegistryState} from './upstream-registry.ts';
 
-/** What is known of a request before it goes anywhere. */
+/** Properties of a request that are determined before it runs and do not change. */
 export interface RoutedRequestFacts {
   readonly requestId: string;
   readonly route: Route;
@@ -18,33 +18,33 @@
   readonly deadlineAtMs: number;
   /** Milliseconds since the caller's first attempt, 0 for the first one itself. */
   readonly ageMs: number;
-  /** When the route's objective ends, counted from the caller's first attempt. */
+  /** Time at which the route's objective ends, counted from the caller's first attempt. */
   readonly dueAtMs: number;
   readonly revision: number;
 }
 
-/** One request of a caller, from its head to its end. */
+/** One request of a caller and its progress. */
 export class RoutedRequest {
   readonly facts: RoutedRequestFacts;
   readonly incoming: IncomingMessage;
   readonly outgoing: ServerResponse;
   readonly body: Buffer | undefined;
   readonly controller = new AbortController();
-  /** Upstreams that the request was sent to. */
+  /** Ids of the upstreams that the request was sent to. */
   readonly sentTo: string[] = [];
-  /** Tokens of the prompt; undefined for a request that names none. */
+  /** Number of tokens of the prompt; undefined if the request states no prompt parts. */
   promptTokens: number | undefined;
-  /** Milliseconds that the stages took. */
+  /** Milliseconds that the first run of the stages took. */
   stagesMs: number | undefined;
-  /** Milliseconds that each stage took, as text for the log. */
+  /** Milliseconds that each stage took, formatted for the log. */
   stageDurationsText: string | undefined;
-  /** Milliseconds to the first bytes, as admission predicted them. */
+  /** Time to the first bytes that admission predicted, in milliseconds. */
   predictedMs: number | undefined;
-  /** What this instance knew of upstreams when it last chose one. */
+  /** State of the upstream registry when an upstream was last chosen. */
   registryState: RegistryState | undefined;
   /** Unused grant to send this request to a limited upstream. */
   grant: SendGrant | undefined;
-  /** Id of the last event that the caller was sent. */
+  /** Id of the last event that was sent to the caller. */
   lastEventId: string | undefined;
   private ran: RunStatus = 'no';
   private firstEventAtMs: number | undefined;
@@ -75,7 +75,7 @@
     return this.controller.signal;
   }
 
-  /** Returns what is equal for requests with the same content; computed when first asked. */
+  /** Returns a hash that is equal for requests with the same content; computed on first use. */
   getFingerprint(): string {
     this.fingerprint ??= computeFingerprint({
       method: this.incoming.method ?? 'GET',
@@ -87,27 +87,27 @@
     return this.fingerprint;
   }
 
-  /** Returns milliseconds left before the request is given up. */
+  /** Returns the milliseconds until the deadline of the request. */
   getRemainingMs(clock: Clock): number {
     return Math.floor(this.facts.deadlineAtMs - clock.getNow());
   }
 
-  /** Notes that an upstream may have begun the request, or that it has. */
+  /** Records that an upstream has run the request or may have; `unknown` does not replace `yes`. */
   recordRan(ran: 'unknown' | 'yes'): void {
     if (this.ran !== 'yes') this.ran = ran;
   }
 
-  /** Notes that the one upstream which could have run it has not. */
+  /** Restores the status from before an attempt whose upstream has not run the request. */
   recordNotRun(ranBefore: RunStatus): void {
     this.ran = ranBefore;
   }
 
-  /** Notes that the caller gets its first event now. */
+  /** Records that the first event is sent to the caller; later calls have no effect. */
   recordFirstEvent(nowMs: number): void {
     this.firstEventAtMs ??= nowMs;
   }
 
-  /** Returns milliseconds from arrival to the first event, if there was one. */
+  /** Returns the milliseconds from arrival to the first event; undefined before it. */
   getFirstEventMs(): number | undefined {
     if (this.firstEventAtMs === undefined) return undefined;
     return Math.round(this.firstEventAtMs - this.facts.arrivedAtMs);
@@ -122,14 +122,14 @@
     return Array.isArray(value) ? value.join(', ') : value;
   }
 
-  /** Returns the parts of the prompt; the last is the request's or its session's own. */
+  /** Returns the parts of the prompt; the last one is the request's or its session's own. */
   listPromptParts(protocol: RequestProtocol): PromptPart[] {
     const value = this.getHeader(protocol.headers.promptParts);
     if (value === undefined || !this.facts.route.hasAffinity) return [];
     return protocol.parsePromptParts(value);
   }
 
-  /** Makes the error that ends a request whose time has run out. */
+  /** Creates the error of a request whose deadline has passed. */
   createDeadlineError(): HollowstackError {
     return new HollowstackError(
       'deadline-exceeded',
--- a/packages/gateway/src/stream-relay.ts
+++ b/packages/gateway/src/stream-relay.ts
@@ -4,14 +4,14 @@
 import {EventSplitter} from './event-splitter.ts';
 import type {RoutedRequest} from './routed-request.ts';
 
-/** Passes the events of one run on, whole ones only, as they arrive. */
+/** Forwards the complete events of an upstream's stream to the caller as they arrive. */
 export class StreamRelay {
   private readonly request: RoutedRequest;
   private readonly head: IncomingMessage;
   private readonly handleEvents: () => void;
   private readonly splitter = new EventSplitter();
 
-  /** @param handleEvents Called whenever whole events have come. */
+  /** @param handleEvents Called whenever complete events have arrived. */
   constructor(
     request: RoutedRequest,
     head: IncomingMessage,
@@ -22,7 +22,7 @@
     this.handleEvents = handleEvents;
   }
 
-  /** Resolves once the stream has ended whole. @throws TransportError where it breaks off. */
+  /** Resolves once the stream has ended completely. @throws TransportError if it breaks off. */
   async run(): Promise<void> {
     const {request, head, splitter} = this;
     const {outgoing} = request;
@@ -41,7 +41,8 @@
     if (!head.complete || splitter.getRest().length > 0) {
       throw new TransportError('the stream broke off', 'some');
     }
-    // The end of an answer without a length proves nothing to one that has.
+    // A framed answer to the caller must not be ended as complete by a stream whose end
+    // cannot be told from a truncation.
     const isFramed = outgoing.useChunkedEncodingByDefault;
     if (outgoing.headersSent && isFramed && isCloseDelimited(head)) {
       throw new TransportError('the stream ended without a proof', 'some');
--- a/packages/gateway/src/upstream-choice.ts
+++ b/packages/gateway/src/upstream-choice.ts
@@ -1,41 +1,41 @@
 import {listByRendezvous} from '@hollowstack/routing';
 
-/** An upstream that a request could go to. */
+/** An upstream that a request may be sent to. */
 export interface UpstreamCandidate {
   readonly id: string;
   readonly failureDomain: string;
   readonly capacity: number;
-  /** This instance's own requests in progress there. */
+  /** Number of this instance's own requests in flight to the upstream. */
   readonly ownInFlight: number;
-  /** How long work takes there over what it takes elsewhere. */
+  /** Latency of the upstream relative to that of other upstreams. */
   readonly latencyRatio: number;
   /**
-   * Whether this instance may send there of its own accord; false while the
-   * upstream is cold and this instance's share of what it bears is used up.
+   * Whether this instance may send a request without the coordinator's assignment; false
+   * while the upstream is cold and this instance's share of its capacity is used up.
    */
   readonly hasSendQuota: boolean;
 }
 
-/** What the choice is made from. */
+/** Inputs of chooseRequestUpstream. */
 export interface UpstreamChoiceInput {
   readonly candidates: readonly UpstreamCandidate[];
-  /** Requests with the same key share the beginning of their prompts. */
+  /** Equal for requests whose prompts share a prefix; undefined if nothing is shared. */
   readonly affinityKey: string | undefined;
-  /** Failure domain in which the request's inputs lie. */
+  /** Failure domain that stores most of the request's inputs. */
   readonly failureDomain: string | undefined;
-  /** Draws from 0 to below 1. */
+  /** Returns numbers from 0 to below 1. */
   readonly random: () => number;
 }
 
-/** Own requests that a shared prompt may bring to its home whatever the others have. */
+/** Number of own in-flight requests up to which affinity overrides load balancing. */
 const MIN_AFFINITY_BOUND = 3;
-/**
- * An upstream this much slower than usual is left out while others are
- * there.
- */
+/** Latency ratio from which an upstream is excluded while faster ones are available. */
 const SLOW_LATENCY_RATIO = 2;
 
-/** Chooses the upstream of a request; undefined where there is none. */
+/**
+ * Chooses the upstream of a request: by affinity within a load bound, else the least loaded
+ * one. Returns undefined if there is no candidate with send quota.
+ */
 export function chooseRequestUpstream(
   input: UpstreamChoiceInput,
 ): UpstreamCandidate | undefined {
--- a/packages/gateway/src/upstream-chooser.ts
+++ b/packages/gateway/src/upstream-chooser.ts
@@ -10,7 +10,7 @@
 } from './upstream-choice.ts';
 import type {UpstreamPool} from './upstream-pool.ts';
 
-/** What the chooser works with. */
+/** Dependencies of UpstreamChooser. */
 export interface UpstreamChooserParts {
   readonly pool: UpstreamPool;
   readonly assigner: EngineAssigner;
@@ -18,23 +18,23 @@
   readonly freshnessGuard: FreshnessGuard;
   readonly random: () => number;
   readonly getNow: () => number;
-  /** Whether engines are chosen by the time that a request can spare. */
+  /** Whether engines are chosen by the slack of a request, its spare time to the objective. */
   readonly placesBySlack: boolean;
 }
 
-/** What a choice is made for. */
+/** Inputs of a choice. */
 export interface UpstreamChoiceOptions {
   readonly promptParts: readonly PromptPart[];
-  /** Bytes of inputs that lie in each failure domain. */
+  /** Bytes of the inputs stored in each failure domain. */
   readonly inputBytesByDomain: ReadonlyMap<string, number>;
   readonly excluded: ReadonlySet<string>;
-  /** Whether the request is sent now; otherwise only a forecast is asked for. */
+  /** Whether the request is sent now; if false, the choice is only a forecast. */
   readonly isFinal: boolean;
 }
 
 /**
- * Chooses the upstream of a request: model engines over all instances together,
- * plain services by what this instance knows.
+ * Chooses the upstream of a request: the coordinator assigns model engines for all
+ * instances, while each instance chooses among plain upstreams by itself.
  */
 export class UpstreamChooser {
   private readonly parts: UpstreamChooserParts;
@@ -69,7 +69,8 @@
         isFinal: options.isFinal,
         dueInMs: this.computeDueInMs(request, options),
       });
-      // An answer may have come meanwhile that says more.
+      // The coordinator may assign an engine that is no candidate here, for example because
+      // an answer to this instance has excluded it.
       const isKnown = candidates.some(({id}) => id === assigned?.id);
       if (assigned && isKnown) return assigned;
     }
@@ -115,8 +116,8 @@
     return unlimited.length > 0 ? unlimited : candidates;
   }
 
-  // The coordinator decides for all instances, and may not know what upstreams have told
-  // this one: a place that it took for nothing would stay taken until it hears of it.
+  // The coordinator may not know yet which upstreams asked this instance to back off. If it
+  // assigned one of them, the slot would stay reserved until it learns of that.
   private listExcluded(
     service: string,
     {excluded}: UpstreamChoiceOptions,
@@ -131,7 +132,7 @@
     return [...new Set([...excluded, ...blocked, ...limited])];
   }
 
-  // A forecast for stages that are still to run knows no time yet.
+  // For a forecast, stages still have to run, so the time left is not known yet.
   private computeDueInMs(
     {facts}: RoutedRequest,
     {isFinal}: UpstreamChoiceOptions,
@@ -141,7 +142,7 @@
     return facts.dueAtMs - getNow();
   }
 
-  /** Notes that an upstream's first bytes are there. */
+  /** Records the first event of an upstream's answer. */
   recordFirstEvent(
     request: RoutedRequest,
     upstreamId: string,
@@ -150,14 +151,14 @@
     this.recordStep(request, upstreamId, {step: 'first', firstMs});
   }
 
-  /** Notes that an upstream has been silent for too long. */
+  /** Records that an upstream exceeded the inactivity time-out. */
   recordUnresponsive(request: RoutedRequest, upstreamId: string): void {
-    // One silent answer may be a lost one; several in a row are an upstream.
+    // A single missing answer may be a lost one; several in a row exclude the upstream.
     this.parts.pool.recordFailure(upstreamId, 'broken');
     this.recordStep(request, upstreamId, {step: 'failed'});
   }
 
-  /** Notes what became of an attempt. */
+  /** Records the outcome of an attempt. */
   recordOutcome(
     request: RoutedRequest,
     upstreamId: string,
@@ -170,7 +171,7 @@
       return;
     }
     const isMisdirected = outcome.type === 'not-run' && outcome.isMisdirected;
-    // This side kept it back; the upstream was not even asked.
+    // A withdrawn request was withheld by this instance and never reached the upstream.
     const isUnreached = outcome.type === 'unsent' && !outcome.isWithdrawn;
     const countsAsFailure =
       isUnreached ||
@@ -197,7 +198,7 @@
 }
 
 function createAffinityKey(parts: readonly PromptPart[]): string | undefined {
-  // The last part is the request's own.
+  // The last part is the request's or its session's own.
   const shared = parts.slice(0, -1);
   if (shared.length === 0) return undefined;
   return shared.map(({id}) => id).join(',');
--- a/packages/gateway/src/window-retry-budget.test.ts
+++ b/packages/gateway/src/window-retry-budget.test.ts
@@ -10,7 +10,7 @@
   return count;
 }
 
-test('all instances together stay within the bound, also after all restart once', () => {
+test('all instances together stay within the bound, even if all restart once', () => {
   const instances = 10;
   const createOne = () =>
     new WindowRetryBudget(
@@ -27,7 +27,7 @@
   assert.ok(retries <= BOUND.burst, `${retries} retries without a request`);
 });
 
-test('requests bring retries, and leave the window again', () => {
+test('requests allow retries until they leave the window', () => {
   let nowMs = 0;
   const budget = new WindowRetryBudget(
     BOUND,
@@ -42,7 +42,7 @@
   assert.equal(countRetries(budget, 's'), burst);
 });
 
-test('the retries of one service leave those of another alone', () => {
+test('the retries of one service do not reduce those of another', () => {
   const budget = new WindowRetryBudget(
     BOUND,
     () => 0,
--- a/packages/gateway/src/window-retry-budget.ts
+++ b/packages/gateway/src/window-retry-budget.ts
@@ -1,9 +1,9 @@
-/** The bound on retries that all instances keep together. */
+/** Upper bound on the retries of all instances together. */
 export interface RetryBound {
-  /** Retries allowed for each request of the window. */
+  /** Retries allowed for each request within the window. */
   readonly ratio: number;
   readonly windowMs: number;
-  /** Retries allowed beside the ratio, over all instances. */
+  /** Retries allowed in addition to the ratio, over all instances. */
   readonly burst: number;
 }
 
@@ -15,12 +15,12 @@
 
 /** Milliseconds that the window slides by; a twentieth of the usual window. */
 const BUCKET_MS = 500;
-/** Requests are counted a little short, since windows of others begin elsewhere. */
+/** Fraction of the ratio that is used, since the windows of instances are not aligned. */
 const RATIO_SHARE = 0.8;
-/** An instance that starts anew knows nothing of the retries of its last life. */
+/** Fraction of the burst that is used: an instance forgets its retries when it restarts. */
 const BURST_SHARE = 0.4;
 
-/** One instance's part of the bound on retries, over a sliding window, a service at a time. */
+/** One instance's share of the bound on retries, over a sliding window for each service. */
 export class WindowRetryBudget {
   private readonly bound: RetryBound;
   private readonly getNow: () => number;
@@ -42,14 +42,14 @@
     this.getBucket(service).requests += 1;
   }
 
-  /** Takes one retry from the budget; returns false where none is left. */
+  /** Takes one retry from the budget; returns false if none is left. */
   acquireRetry(service: string): boolean {
     if (!this.hasRetry(service)) return false;
     this.getBucket(service).retries += 1;
     return true;
   }
 
-  /** Returns whether a retry is left. */
+  /** Returns whether the budget of a service allows another retry. */
   hasRetry(service: string): boolean {
     this.getBucket(service);
     const buckets = this.buckets.get(service)!;
