--- a/packages/gateway/src/attempt-runner.ts
+++ b/packages/gateway/src/attempt-runner.ts
@@ -39,38 +39,38 @@
   readonly policy: PolicySettings;
 }
 
-/** Connections that may fail to stand before a request is refused. */
-const MAX_UNSENT = 8;
-/** Milliseconds without an event after which the engine of a stream counts as silent. */
-const STREAM_SILENCE_MS = 1500;
+/** Number of unsent or misdirected attempts after which a request is rejected. */
+const MAX_UNSENT_ATTEMPTS = 8;
+/** Milliseconds without an event after which the engine of a stream counts as unresponsive. */
+const STREAM_INACTIVITY_TIMEOUT_MS = 1500;
 /**
- * Milliseconds of silence that no plain upstream is blamed for; several
- * times the usual work.
+ * Lower bound of the inactivity time-out of a plain upstream, in milliseconds; several
+ * times the usual processing time.
  */
-const MIN_SILENCE_MS = 100;
-/** Times of what is usual, and share of the objective, for a plain answer. */
-const SILENCE_FACTOR = 2.5;
+const MIN_INACTIVITY_TIMEOUT_MS = 100;
+/** Multiple of the service's mean latency after which a plain answer is overdue. */
+const MEAN_LATENCY_FACTOR = 2.5;
 /**
- * Share of the objective after which a silent plain upstream is given up;
- * what is left suffices for another one.
+ * Share of the route's objective after which an unresponsive plain upstream is abandoned;
+ * the remaining time suffices for another attempt.
  */
-const SILENCE_SHARE = 0.6;
+const OBJECTIVE_SHARE = 0.6;
 
-/** What the attempts of a request need beside the request. */
+/** Inputs that all attempts of a request share. */
 export interface AttemptOptions {
-  /** Parts of the prompt, the shared ones first. */
+  /** Parts of the prompt; the last one is the request's or its session's own. */
   readonly promptParts: readonly PromptPart[];
-  /** Bytes of the inputs by the failure domain in which they lie. */
+  /** Bytes of the inputs stored in each failure domain. */
   readonly inputBytesByDomain: ReadonlyMap<string, number>;
   /** Stage results that the upstream reads; undefined for a request without stages. */
   readonly inputs: ReleasableInputs | undefined;
-  /** Upstreams that have failed the request. */
+  /** Ids of the upstreams at which the request has failed. */
   readonly excluded: Set<string>;
-  /** Called with the milliseconds from a send to the first event. */
+  /** Called with the milliseconds from the start of an attempt to its first event. */
   readonly handleFirstEvent?: (firstMs: number) => void;
 }
 
-/** Sends a request to upstreams, one after the other, for as long as another attempt may help. */
+/** Sends a request to one upstream after another until it succeeds or may not be retried. */
 export class AttemptRunner {
   private readonly parts: AttemptRunnerParts;
 
@@ -79,21 +79,21 @@
   }
 
   /**
-   * Makes attempts until one is answered or none is left.
+   * Makes attempts until one is answered or no further attempt is allowed.
    *
-   * @throws InputsLostError where the stages have to run again, HollowstackError where the
-   * request ends without an answer.
+   * @throws InputsLostError if the stages have to run again; another HollowstackError if
+   * the request ends without an answer.
    */
-  async run(request: RoutedRequest, needs: AttemptOptions): Promise<void> {
+  async run(request: RoutedRequest, options: AttemptOptions): Promise<void> {
     const {quarantine, isolatedAttempts} = this.parts;
     if (!quarantine.isIsolated(request))
-      return this.runAttempts(request, needs);
+      return this.runAttempts(request, options);
     const release = await isolatedAttempts.acquire(
       request.service,
       request.signal,
     );
     try {
-      await this.runAttempts(request, needs);
+      await this.runAttempts(request, options);
     } finally {
       release();
     }
@@ -101,20 +101,20 @@
 
   private async runAttempts(
     request: RoutedRequest,
-    needs: AttemptOptions,
+    options: AttemptOptions,
   ): Promise<void> {
     const {retryBudget, quarantine} = this.parts;
-    const {inputs, excluded} = needs;
+    const {inputs, excluded} = options;
     let unsentCount = 0;
     for (;;) {
       request.signal.throwIfAborted();
       const upstream =
         (await this.acquireOnlyUpstream(request)) ??
-        (await this.chooseUpstream(request, needs));
+        (await this.chooseUpstream(request, options));
       request.signal.throwIfAborted();
       quarantine.checkRequest(request);
-      if (!upstream) throw this.createNoneLeft(request);
-      const outcome = await this.attemptOnce(request, upstream.id, needs);
+      if (!upstream) throw this.createNoneLeftError(request);
+      const outcome = await this.attemptOnce(request, upstream.id, options);
       if (outcome.type === 'answered') return;
       this.logFailure(request, upstream.id, outcome);
       request.signal.throwIfAborted();
@@ -127,7 +127,7 @@
       excluded.add(upstream.id);
       if (isUnsent(outcome)) {
         unsentCount += 1;
-        if (unsentCount < MAX_UNSENT) continue;
+        if (unsentCount < MAX_UNSENT_ATTEMPTS) continue;
       } else if (this.mayRetry(request, outcome)) {
         if (!inputs?.isReleased) continue;
         throw new InputsLostError(outcome.reason, request);
@@ -136,40 +136,47 @@
         outcome.deliverFailure();
         return;
       }
-      const shortage = this.parts.pool.findShortage(request.facts.service);
+      const unavailability = this.parts.pool.findShortage(
+        request.facts.service,
+      );
       throw createUnavailableError(
         request,
         outcome.reason,
-        shortage?.retryAfterMs,
+        unavailability?.retryAfterMs,
       );
     }
   }
 
-  // One that may crash its upstream goes where it runs alone, if there is such a place.
+  // An isolated request may crash its upstream: it goes to an idle one if there is any, so
+  // that no other request is lost with it.
   private chooseUpstream(
     request: RoutedRequest,
     {promptParts, inputBytesByDomain, excluded}: AttemptOptions,
   ): Promise<UpstreamAssignment | undefined> {
     const {pool, quarantine, chooser} = this.parts;
-    const need = {
+    const choiceOptions = {
       promptParts,
       inputBytesByDomain,
       excluded,
       isFinal: true,
     };
-    if (!quarantine.isIsolated(request)) return chooser.choose(request, need);
+    if (!quarantine.isIsolated(request))
+      return chooser.choose(request, choiceOptions);
     const {service} = request;
     const busy = new Set([...excluded, ...pool.listBusy(service)]);
     const hasIdle = pool.listCandidates(service, busy).length > 0;
-    return chooser.choose(request, hasIdle ? {...need, excluded: busy} : need);
+    return chooser.choose(
+      request,
+      hasIdle ? {...choiceOptions, excluded: busy} : choiceOptions,
+    );
   }
 
-  private createNoneLeft(request: RoutedRequest): HollowstackError {
-    const shortage = this.parts.pool.findShortage(request.facts.service);
+  private createNoneLeftError(request: RoutedRequest): HollowstackError {
+    const unavailability = this.parts.pool.findShortage(request.facts.service);
     return createUnavailableError(
       request,
-      shortage?.reason ?? 'no upstream left',
-      shortage?.retryAfterMs,
+      unavailability?.reason ?? 'no upstream left',
+      unavailability?.retryAfterMs,
     );
   }
 
@@ -184,8 +191,8 @@
     return upstream;
   }
 
-  // A request that may go to no further upstream goes to the same one again,
-  // once its lost inputs are made.
+  // A request that has reached its maximum number of attempts is only repeated after its
+  // lost inputs were recomputed, and then at the upstream of its first attempt.
   private findOnlyUpstream(request: RoutedRequest): {id: string} | undefined {
     const {pool} = this.parts;
     const {route} = request.facts;
@@ -235,37 +242,40 @@
         handleFirstEvent?.(firstMs);
       },
       inactivity: {
-        timeoutMs: this.computeSilenceMs(request),
+        timeoutMs: this.computeInactivityTimeoutMs(request),
         handleTimeout: () => {
-          crashReporter.recordUnresponsive(sent);
-          return this.handleSilence(request, upstreamId);
+          crashReporter.recordUnresponsive(sentAttempt);
+          return this.handleInactivity(request, upstreamId);
         },
       },
     });
-    const sent = {request, upstream, sentAtMs: clock.getNow()};
+    const sentAttempt = {request, upstream, sentAtMs: clock.getNow()};
     pool.beginRequest(upstreamId);
     try {
       const outcome = await attempt.run();
       chooser.recordOutcome(request, upstreamId, outcome);
-      crashReporter.recordOutcome(sent, outcome);
+      crashReporter.recordOutcome(sentAttempt, outcome);
       return outcome;
     } finally {
       pool.endRequest(upstreamId);
     }
   }
 
-  private computeSilenceMs(request: RoutedRequest): number {
+  private computeInactivityTimeoutMs(request: RoutedRequest): number {
     const {route, service} = request.facts;
-    if (route.repeatability === 'stream') return STREAM_SILENCE_MS;
-    const usualMs = this.parts.pool.getMeanMs(service) ?? 0;
+    if (route.repeatability === 'stream') return STREAM_INACTIVITY_TIMEOUT_MS;
+    const meanMs = this.parts.pool.getMeanMs(service) ?? 0;
     return Math.max(
-      MIN_SILENCE_MS,
-      SILENCE_FACTOR * usualMs,
-      SILENCE_SHARE * route.objectiveMs,
+      MIN_INACTIVITY_TIMEOUT_MS,
+      MEAN_LATENCY_FACTOR * meanMs,
+      OBJECTIVE_SHARE * route.objectiveMs,
     );
   }
 
-  private handleSilence(request: RoutedRequest, upstreamId: string): boolean {
+  private handleInactivity(
+    request: RoutedRequest,
+    upstreamId: string,
+  ): boolean {
     const {chooser, pool, retryBudget} = this.parts;
     const {route, service} = request.facts;
     chooser.recordUnresponsive(request, upstreamId);
@@ -297,7 +307,8 @@
     outcome: Exclude<AttemptOutcome, {type: 'answered'}>,
   ): void {
     const {requestId, service, workspace} = request.facts;
-    const isBroken = outcome.type === 'failed' && outcome.hasLostConnection;
+    const hasLostConnection =
+      outcome.type === 'failed' && outcome.hasLostConnection;
     this.parts.logger.logEvent('attempt.failed', {
       requestId,
       service,
@@ -305,14 +316,14 @@
       attempt: request.sentTo.length,
       outcome: outcome.type,
       reason: outcome.reason,
-      // Tells whether the same request was at each of several crashes.
-      fingerprint: isBroken ? request.getFingerprint() : undefined,
-      workspace: isBroken ? workspace?.name : undefined,
+      // Shows whether the same request was involved in several crashes.
+      fingerprint: hasLostConnection ? request.getFingerprint() : undefined,
+      workspace: hasLostConnection ? workspace?.name : undefined,
     });
   }
 }
 
-// An upstream that was not there has not been sent anything.
+// A misdirected request reached another upstream than the intended one and was not run.
 function isUnsent(outcome: AttemptOutcome): boolean {
   return (
     outcome.type === 'unsent' ||
--- a/packages/gateway/src/cached-prompts-reader.ts
+++ b/packages/gateway/src/cached-prompts-reader.ts
@@ -9,47 +9,45 @@
 } from '@hollowstack/upstream-signals';
 import type {EngineProtocol} from './engine-protocol.ts';
 
-/** What the reader works with. */
+/** Dependencies of CachedPromptsReader. */
 export interface CachedPromptsReaderParts {
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly directory: EngineDirectory;
   readonly protocol: EngineProtocol;
   readonly signals: Pick<UpstreamSignals, 'recordAnswer'>;
-  /** Returns whether an engine neither leaves nor wants to be left alone. */
+  /** Returns whether an engine is neither leaving, backing off nor rate-limited. */
   readonly mayAsk: (engineId: string) => boolean;
 }
 
-/**
- * Milliseconds for a connection to an engine to stand; some hundred round
- * trips.
- */
+/** Milliseconds for establishing a connection to an engine; some hundred round trips. */
 const CONNECT_TIMEOUT_MS = 300;
-/** Milliseconds for the whole list; nobody waits for it. */
-const TIMEOUT_MS = 1000;
-/** Bytes of a list, at most; some 50,000 parts. */
+/** Milliseconds for the complete list; no request waits for it. */
+const ANSWER_TIMEOUT_MS = 1000;
+/** Maximum size of a list in bytes; some 50,000 parts. */
 const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
 
 /**
- * Asks each engine once what it keeps, when this instance begins to assign
- * requests: whoever did so before may be gone with what it knew.
+ * Reads the prompt cache of each engine once, when this instance begins to assign requests
+ * as coordinator: the state of the previous coordinator may be lost.
  */
 export class CachedPromptsReader {
   private readonly parts: CachedPromptsReaderParts;
-  private readonly asked = new Set<string>();
+  private readonly queriedIds = new Set<string>();
 
   constructor(parts: CachedPromptsReaderParts) {
     this.parts = parts;
   }
 
   /**
-   * Asks the engines of a service that were not asked yet; does not wait for them. One
-   * that wants no work now is asked later.
+   * Queries the engines of a service that were not queried yet, without waiting for their
+   * answers. Engines that may not be queried now are queried by a later call.
    */
   readCachedPrompts(service: string): void {
     for (const engine of this.parts.directory.listEngines(service)) {
-      if (this.asked.has(engine.id) || !this.parts.mayAsk(engine.id)) continue;
-      this.asked.add(engine.id);
+      if (this.queriedIds.has(engine.id) || !this.parts.mayAsk(engine.id))
+        continue;
+      this.queriedIds.add(engine.id);
       void this.readEngine(engine);
     }
   }
@@ -63,7 +61,7 @@
       const {head, body} = await callForWholeAnswer(
         {...request, address, connectTimeoutMs: CONNECT_TIMEOUT_MS},
         clock,
-        {timeoutMs: TIMEOUT_MS, maxBytes: MAX_ANSWER_BYTES},
+        {timeoutMs: ANSWER_TIMEOUT_MS, maxBytes: MAX_ANSWER_BYTES},
       );
       signals.recordAnswer({
         upstream: engine,
@@ -72,11 +70,11 @@
         sentAtMs,
       });
       if (head.statusCode !== 200) return;
-      const kept = protocol.parseCacheContents(body.toString('utf8'));
-      directory.recordCachedParts(id, kept);
-      logger.logEvent('engine.kept', {upstream: id, parts: kept.length});
+      const cachedParts = protocol.parseCacheContents(body.toString('utf8'));
+      directory.recordCachedParts(id, cachedParts);
+      logger.logEvent('engine.kept', {upstream: id, parts: cachedParts.length});
     } catch {
-      // Without the answer the engine counts as empty, which costs reading only.
+      // Without an answer the cache counts as empty, which only costs repeated prefills.
     }
   }
 }
--- a/packages/gateway/src/crash-reporter.ts
+++ b/packages/gateway/src/crash-reporter.ts
@@ -13,14 +13,14 @@
   readonly sentAtMs: number;
 }
 
-/** Dependencies of CrashSigns. */
+/** Dependencies of CrashReporter. */
 export interface CrashReporterParts {
   readonly clock: Clock;
   readonly pool: Pick<UpstreamPool, 'getRecord'>;
   readonly quarantine: RequestQuarantine;
 }
 
-/** Tells the quarantine what attempts show of their requests and of upstreams' processes. */
+/** Reports to the quarantine which attempts indicate that an upstream crashed or survived. */
 export class CrashReporter {
   private readonly parts: CrashReporterParts;
 
@@ -28,33 +28,39 @@
     this.parts = parts;
   }
 
-  /** Takes what became of an attempt. */
+  /** Reports the outcome of an attempt; outcomes that indicate neither are ignored. */
   recordOutcome(sent: SentAttempt, outcome: AttemptOutcome): void {
     const {quarantine} = this.parts;
     const {request, upstream} = sent;
     match(outcome)
       .with({type: 'answered'}, () => quarantine.recordServed(request))
-      .with({type: 'failed', isBroken: true}, () => this.recordBroken(sent))
-      // The upstream lived to tell of its failure.
+      .with({type: 'failed', hasLostConnection: true}, () =>
+        this.recordSuspectedCrash(sent),
+      )
+      // A complete error answer shows that the upstream survived the request.
       .with({type: 'failed'}, ({deliverFailure}) => {
         if (deliverFailure) quarantine.recordServed(request);
       })
       .with({type: 'unsent', isRefused: true}, () =>
         quarantine.recordRefusedConnection(upstream.id),
       )
-      .with({type: 'not-run', isOtherUpstream: true}, () =>
+      .with({type: 'not-run', isMisdirected: true}, () =>
         quarantine.recordRefusedConnection(upstream.id),
       )
       .otherwise(() => {});
   }
 
-  /** Notes that an upstream has been silent for too long. */
+  /** Reports that an upstream exceeded the inactivity time-out of an attempt. */
   recordUnresponsive(sent: SentAttempt): void {
-    this.recordBroken(sent);
+    this.recordSuspectedCrash(sent);
   }
 
-  // One that leaves ends by plan.
-  private recordBroken({request, upstream, sentAtMs}: SentAttempt): void {
+  // The end of a leaving upstream is planned and no crash.
+  private recordSuspectedCrash({
+    request,
+    upstream,
+    sentAtMs,
+  }: SentAttempt): void {
     const {clock, pool, quarantine} = this.parts;
     if (pool.getRecord(upstream.id)?.isLeaving) return;
     const endedAtMs = clock.getNow();
--- a/packages/gateway/src/gateway-request-handler.ts
+++ b/packages/gateway/src/gateway-request-handler.ts
@@ -24,13 +24,13 @@
 import type {RouteHolder} from './route-holder.ts';
 import {RoutedRequest} from './routed-request.ts';
 
-/** What the front works with. */
+/** Dependencies of GatewayRequestHandler. */
 export interface GatewayRequestHandlerParts {
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly metrics: MetricsRegistry;
   readonly protocol: RequestProtocol;
-  readonly holder: RouteHolder;
+  readonly routeHolder: RouteHolder;
   readonly freshness: FreshnessTable;
   readonly freshnessGuard: FreshnessGuard;
   readonly lifecycle: GatewayLifecycle;
@@ -38,46 +38,45 @@
 }
 
 /**
- * Milliseconds after which a caller may come back to an instance that knows no
- * configuration. Outages of the store take seconds, and a caller heeds no more
- * than a third of its time; 2 s is that third for the shorter generations.
+ * Milliseconds after which a caller may retry at an instance without a configuration. Store
+ * outages last seconds, and a caller accepts a delay of at most a third of its deadline; 2 s
+ * is that third for the shorter generation requests.
  */
-const NOT_READY_RETRY_MS = 2000;
+const NOT_READY_RETRY_AFTER_MS = 2000;
 /**
- * Milliseconds of an instance's life in which a request waits for its
- * configuration and coordinator instead of being refused. Both are there some
- * 300 ms after the start where the store or a peer answers; a caller that is
- * refused comes back 2 s later.
+ * Milliseconds after the start during which a request waits for the configuration and the
+ * coordinator instead of being rejected. Both are known some 300 ms after the start if the
+ * store or a peer answers, whereas a rejected caller retries only 2 s later.
  */
-const START_HOLD_MS = 800;
-/** Refusals that say that this instance does not know what the request names. */
+const MAX_START_WAIT_MS = 800;
+/** Errors for a route or key that this instance does not know; its view may be stale. */
 const UNKNOWN_KINDS: ReadonlySet<ErrorKind> = new Set([
   'not-found',
   'unauthorized',
 ]);
-/** Another instance takes the request at once. */
-const ELSEWHERE_RETRY_MS = 50;
+/** Milliseconds after which a caller may retry; short, as another instance can take it at once. */
+const OTHER_INSTANCE_RETRY_AFTER_MS = 50;
 const DRAW_SCALE = 0x1_0000_0000;
 
-/** A request that the configuration allows. */
+/** Route and workspace of a request that the configuration allows. */
 interface AdmittedRequest {
   readonly table: RouteTable;
   readonly route: Route;
   readonly workspace: KeyedWorkspace | undefined;
 }
 
-/** Takes routed requests: finds their route and workspace, and runs them. */
+/** Handles routed requests: determines their route and workspace, and runs them. */
 export class GatewayRequestHandler {
   private readonly parts: GatewayRequestHandlerParts;
   private readonly startedAtMs: number;
-  private readonly callerAges = new RequestAgeEstimator();
+  private readonly ageEstimator = new RequestAgeEstimator();
 
   constructor(parts: GatewayRequestHandlerParts) {
     this.parts = parts;
     this.startedAtMs = parts.clock.getNow();
   }
 
-  /** Answers one request; never rejects. */
+  /** Answers one request; never rejects, since errors are sent to the caller. */
   async handle(
     incoming: IncomingMessage,
     outgoing: ServerResponse,
@@ -91,19 +90,19 @@
     try {
       const {clock} = this.parts;
       const arrivedAtMs = clock.getNow();
-      const holdMs = this.startedAtMs + START_HOLD_MS - arrivedAtMs;
-      await lifecycle.waitForStart(clock, holdMs);
+      const maxWaitMs = this.startedAtMs + MAX_START_WAIT_MS - arrivedAtMs;
+      await lifecycle.waitForStart(clock, maxWaitMs);
       const {table, ...admitted} = await this.admitByFreshView(incoming);
       if (requestId === undefined) {
         throw new HollowstackError('bad-request', 'the request has no id');
       }
       const {limits} = table.configuration;
       const body = await readRequestBody(incoming, limits);
-      this.checkOpen();
+      this.checkAccepting();
       const {route, workspace} = admitted;
-      const givenMs = this.readDeadlineMs(incoming) ?? route.timeoutMs;
-      const ageMs = this.callerAges.computeAgeMs(route, givenMs);
-      this.callerAges.recordDeadline(route, givenMs);
+      const callerDeadlineMs = this.readDeadlineMs(incoming) ?? route.timeoutMs;
+      const ageMs = this.ageEstimator.computeAgeMs(route, callerDeadlineMs);
+      this.ageEstimator.recordDeadline(route, callerDeadlineMs);
       await this.runRequest(
         new RoutedRequest(
           {
@@ -112,7 +111,8 @@
             service: chooseTarget(route, computeDraw(requestId)),
             workspace,
             arrivedAtMs,
-            deadlineAtMs: arrivedAtMs + Math.min(givenMs, route.timeoutMs),
+            deadlineAtMs:
+              arrivedAtMs + Math.min(callerDeadlineMs, route.timeoutMs),
             ageMs,
             dueAtMs: arrivedAtMs - ageMs + route.objectiveMs,
             revision: table.revision,
@@ -124,23 +124,23 @@
         table,
       );
     } catch (thrown) {
-      this.settleRefusal(toHollowstackError(thrown), requestId, outgoing);
+      this.settleRejection(toHollowstackError(thrown), requestId, outgoing);
     }
   }
 
-  // Asked once the body has come: to close over unread bytes would reset the
-  // connection, and the caller might never see the answer.
-  private checkOpen(): void {
+  // Called after the body was read: closing a connection with unread bytes resets it, and the
+  // caller might not receive the answer.
+  private checkAccepting(): void {
     if (!this.parts.lifecycle.isClosing()) return;
     throw createStoppingError();
   }
 
   private getTable(): RouteTable {
-    const table = this.parts.holder.getCurrent();
+    const table = this.parts.routeHolder.getCurrent();
     if (table) return table;
     throw new HollowstackError('not-ready', 'no configuration is known yet', {
       ran: 'no',
-      retryAfterMs: NOT_READY_RETRY_MS,
+      retryAfterMs: NOT_READY_RETRY_AFTER_MS,
     });
   }
 
@@ -168,7 +168,7 @@
     return new HollowstackError(
       'not-ready',
       `${error.message}, which neither the store nor a peer has confirmed lately`,
-      {ran: 'no', retryAfterMs: ELSEWHERE_RETRY_MS, cause: error},
+      {ran: 'no', retryAfterMs: OTHER_INSTANCE_RETRY_AFTER_MS, cause: error},
     );
   }
 
@@ -218,7 +218,7 @@
       controller.abort(error);
       writeError(outgoing, error, facts.requestId, protocol);
     });
-    const removeRefusal = this.parts.lifecycle.addRejectHandler(() => {
+    const removeRejectHandler = this.parts.lifecycle.addRejectHandler(() => {
       if (request.getRan() === 'no') controller.abort(createStoppingError());
     });
     outgoing.once('close', () => {
@@ -234,14 +234,17 @@
       this.recordSettled(request, 'answered', '');
     } catch (thrown) {
       const reason = request.signal.aborted ? request.signal.reason : thrown;
-      const error = createTrueError(toHollowstackError(reason), request);
+      const error = createErrorWithRunStatus(
+        toHollowstackError(reason),
+        request,
+      );
       if (!outgoing.writableEnded) {
         writeError(outgoing, error, facts.requestId, protocol);
       }
       this.recordSettled(request, error.kind, error.message);
     } finally {
       timer.cancel();
-      removeRefusal();
+      removeRejectHandler();
     }
   }
 
@@ -289,13 +292,13 @@
     });
   }
 
-  private settleRefusal(
+  private settleRejection(
     error: HollowstackError,
     requestId: string | undefined,
     outgoing: ServerResponse,
   ): void {
-    const {logger, protocol, holder, freshness} = this.parts;
-    const routes = holder.getState();
+    const {logger, protocol, routeHolder, freshness} = this.parts;
+    const routes = routeHolder.getState();
     const view = freshness.getState();
     const event =
       error.kind === 'internal' ? 'request.internal' : 'request.refused';
@@ -315,9 +318,9 @@
   }
 }
 
-// A later step that did not run says nothing of an attempt before it that may
-// have: what the request knows goes first.
-function createTrueError(
+// An error of a later step may state that nothing was run although an earlier attempt may
+// have run the request: the status recorded by the request takes precedence.
+function createErrorWithRunStatus(
   error: HollowstackError,
   request: RoutedRequest,
 ): HollowstackError {
@@ -329,11 +332,11 @@
 function createStoppingError(): HollowstackError {
   return new HollowstackError('not-ready', 'this instance is stopping', {
     ran: 'no',
-    retryAfterMs: ELSEWHERE_RETRY_MS,
+    retryAfterMs: OTHER_INSTANCE_RETRY_AFTER_MS,
   });
 }
 
-// The draw follows from the request's id, so that it can be told afterwards.
+// Derived from the request's id, so that the choice of the service can be reproduced.
 function computeDraw(requestId: string): number {
   const digest = createHash('sha1').update(requestId).digest();
   return digest.readUInt32BE(0) / DRAW_SCALE;
--- a/packages/gateway/src/header-list.ts
+++ b/packages/gateway/src/header-list.ts
@@ -1,4 +1,4 @@
-/** Names that concern one connection only, in small letters. */
+/** Names of hop-by-hop headers, in lower case. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -12,21 +12,21 @@
 ]);
 
 /**
- * Copies headers that are passed on: those that concern one connection, those
- * that `Connection` names and those in `dropped` stay behind.
+ * Copies the headers that are forwarded: all but hop-by-hop headers, those that
+ * `Connection` lists and those in `dropped`. Order and spelling are preserved.
  *
- * @param rawHeaders Names and values in turn.
- * @param dropped Names in small letters.
+ * @param rawHeaders Alternating names and values.
+ * @param dropped Names in lower case.
  */
 export function listEndToEndHeaders(
   rawHeaders: readonly string[],
   dropped: ReadonlySet<string>,
 ): string[] {
-  const named = listConnectionNames(rawHeaders);
+  const connectionNames = listConnectionNames(rawHeaders);
   const copied: string[] = [];
   for (let index = 0; index < rawHeaders.length; index += 2) {
     const name = rawHeaders[index].toLowerCase();
-    if (CONNECTION_HEADERS.has(name) || named.has(name)) continue;
+    if (CONNECTION_HEADERS.has(name) || connectionNames.has(name)) continue;
     if (dropped.has(name)) continue;
     copied.push(rawHeaders[index], rawHeaders[index + 1]);
   }
@@ -41,9 +41,9 @@
       names.add(name.trim().toLowerCase());
     }
   }
-  // What decides how a request is framed and routed is never dropped by a name.
-  for (const kept of ['host', 'content-length', 'content-type']) {
-    names.delete(kept);
+  // A `Connection` header must not remove headers that control framing and routing.
+  for (const protectedName of ['host', 'content-length', 'content-type']) {
+    names.delete(protectedName);
   }
   return names;
 }
