--- a/packages/admission/src/adaptive-limit.ts
+++ b/packages/admission/src/adaptive-limit.ts
@@ -17,9 +17,9 @@
 
 // A short queue keeps an upstream busy between two requests; what waits beyond
 // it waits where this instance can neither order nor refuse it any more.
-const LONG_QUEUE = 0.15;
+const MAX_QUEUED_PER_SLOT = 0.15;
 /** Factor of the limit after a sign of overload; a guess. */
-const DECREASE = 0.8;
+const DECREASE_FACTOR = 0.8;
 
 /**
  * How much of a pool one instance may use at a time. It grows by steps while
@@ -54,9 +54,9 @@
   /** Takes one interval's sample in. */
   applySample(sample: LimitSample): void {
     const {min, max} = this.options;
-    const isQueueing = sample.queuedPerSlot > LONG_QUEUE;
+    const isQueueing = sample.queuedPerSlot > MAX_QUEUED_PER_SLOT;
     if (isQueueing || sample.wasRefused) {
-      this.value = Math.max(min, this.value * DECREASE);
+      this.value = Math.max(min, this.value * DECREASE_FACTOR);
     } else if (sample.hadWaitingWork) {
       const step = Math.max(1, this.value * 0.05);
       this.value = Math.min(max, this.value + step);
--- a/packages/admission/src/decisions.test.ts
+++ b/packages/admission/src/decisions.test.ts
@@ -15,7 +15,7 @@
   type WaitingWork,
 } from './index.ts';
 
-function createCount(counts: Record<string, number>): InServiceCount {
+function createInServiceCount(counts: Record<string, number>): InServiceCount {
   const total = Object.values(counts).reduce((sum, count) => sum + count, 0);
   return {total, getCount: workspace => counts[workspace] ?? 0};
 }
@@ -27,7 +27,7 @@
 ): number {
   return chooseNextWaiting(
     waiting,
-    createCount(counts),
+    createInServiceCount(counts),
     {limit, initial: limit},
     DEFAULT_QUEUE_POLICY,
   );
--- a/packages/admission/src/stage-queue.ts
+++ b/packages/admission/src/stage-queue.ts
@@ -56,12 +56,15 @@
   const {limit} = limits;
   const urgentLimit = Math.max(limit, limits.initial * policy.urgentFactor);
   if (inService.total >= urgentLimit) return -1;
-  const openLimit = Math.max(1, Math.floor(limit * policy.unreservedShare));
+  const unreservedLimit = Math.max(
+    1,
+    Math.floor(limit * policy.unreservedShare),
+  );
   let best = -1;
   for (let index = 0; index < waiting.length; index++) {
     const work = waiting[index];
-    const isReserved = work.priority <= policy.maxUrgentPriority;
-    if (!isReserved && inService.total >= openLimit) continue;
+    const isUrgent = work.priority <= policy.maxUrgentPriority;
+    if (!isUrgent && inService.total >= unreservedLimit) continue;
     if (best < 0 || isBefore(work, waiting[best], inService)) best = index;
   }
   return best;
--- a/packages/assignment/src/cold-engines.test.ts
+++ b/packages/assignment/src/cold-engines.test.ts
@@ -7,7 +7,7 @@
 import {EngineDirectory} from './index.ts';
 
 const WARM_UP = {durationMs: 3000, requestsPerSecond: 9};
-const PARTS = [
+const PROMPT_PARTS = [
   {id: 'hot', tokens: 5000},
   {id: 'own', tokens: 100},
 ];
@@ -54,17 +54,17 @@
     const choice = directory.reserveEngine({
       requestId: `${index}`,
       service: 'chat',
-      parts: PARTS,
+      parts: PROMPT_PARTS,
       inputs: [],
       excluded: [],
       isFinal: true,
     });
     assigned.push({id: choice?.id, atMs: nowMs});
-    const over = assigned[index - REQUESTS_PER_SECOND / 5];
-    if (over?.id === undefined) continue;
+    const ended = assigned[index - REQUESTS_PER_SECOND / 5];
+    if (ended?.id === undefined) continue;
     directory.recordProgress({
       requestId: `${index - REQUESTS_PER_SECOND / 5}`,
-      upstreamId: over.id,
+      upstreamId: ended.id,
       step: 'ended',
     });
   }
--- a/packages/assignment/src/engine-choice.test.ts
+++ b/packages/assignment/src/engine-choice.test.ts
@@ -100,11 +100,11 @@
     ]),
     300,
   );
-  const behindUnkept = [
+  const behindUncached = [
     {id: 'x', tokens: 50},
     {id: 'b', tokens: 200},
   ];
-  assert.equal(cache.countCachedTokens(behindUnkept), 0);
+  assert.equal(cache.countCachedTokens(behindUncached), 0);
   assert.equal(cache.countCachedTokens([{id: 'b', tokens: 200}]), 200);
 });
 
--- a/packages/assignment/src/engine-choice.ts
+++ b/packages/assignment/src/engine-choice.ts
@@ -45,20 +45,20 @@
 
 // What is paid beside the time itself, as milliseconds that one would wait
 // rather than pay it.
-const REREAD_MS_PER_TOKEN = 0.03;
-const CROSSING_MS_PER_BYTE = 50 / 1_000_000;
+const RECOMPUTE_MS_PER_TOKEN = 0.03;
+const TRANSFER_MS_PER_BYTE = 50 / 1_000_000;
 /** Milliseconds by which a lower place in the prompt's ranking counts as worse. */
-const RANK_MS_PER_SHARED_TOKEN = 0.0015;
+const RANK_PENALTY_MS_PER_SHARED_TOKEN = 0.0015;
 /**
  * Milliseconds by which each request in progress slows an engine down; a
  * step of an engine with some ten of them.
  */
-const ACTIVE_MS = 1.5;
+const ACTIVE_REQUEST_MS = 1.5;
 /**
  * Milliseconds that an engine counts as worse whose slots and queue are full; longer than
  * any usual prompt takes to read.
  */
-const FULL_MS = 2000;
+const FULL_PENALTY_MS = 2000;
 /**
  * Requests that wait at an engine for a slot, at most: engines queue a few and answer
  * the next ones that they are full.
@@ -70,26 +70,29 @@
  * one: kept parts and short queues do not pull work there, and what the warm ones
  * could serve only late still goes. A quarter of the tightest objective seen.
  */
-const COLD_MS = 250;
+const COLD_PENALTY_MS = 250;
 
 /**
  * What a millisecond counts that a request can spare. Not nothing: prompts that wait hold
  * up those behind them.
  */
-const SPARE_TIME_WEIGHT = 0.3;
+const ON_TIME_WEIGHT = 0.3;
 /** What a millisecond counts beyond the time in which the first event should come. */
-const LATE_TIME_WEIGHT = 3;
+const LATE_WEIGHT = 3;
 /** Part of the time left that is not counted on: readings take up to this longer. */
-const RESERVE_SHARE = 0.25;
+const SAFETY_MARGIN_SHARE = 0.25;
 
 /** Chooses the engine with the least cost in time, in reading again and in moving. */
 export function chooseEngine(
   input: AssignmentInput,
 ): AssignmentChoice | undefined {
-  const mostKept = Math.max(0, ...input.engines.map(each => each.cachedTokens));
+  const maxCachedTokens = Math.max(
+    0,
+    ...input.engines.map(each => each.cachedTokens),
+  );
   let best: AssignmentChoice | undefined;
   for (const engine of input.engines) {
-    const choice = computeChoice(engine, input, mostKept);
+    const choice = computeChoice(engine, input, maxCachedTokens);
     if (!best || choice.costMs < best.costMs) best = choice;
   }
   return best;
@@ -98,23 +101,23 @@
 function computeChoice(
   engine: EngineCandidate,
   input: AssignmentInput,
-  mostKept: number,
+  maxCachedTokens: number,
 ): AssignmentChoice {
-  const unread = Math.max(0, input.promptTokens - engine.cachedTokens);
-  const readMs = (engine.backlogTokens + unread) / input.tokensPerMs;
+  const uncachedTokens = Math.max(0, input.promptTokens - engine.cachedTokens);
+  const prefillMs = (engine.backlogTokens + uncachedTokens) / input.tokensPerMs;
   const predictedMs =
-    (readMs + engine.activeCount * ACTIVE_MS) * engine.slowness +
+    (prefillMs + engine.activeCount * ACTIVE_REQUEST_MS) * engine.slowness +
     computeSlotWaitMs(engine);
-  const rereadTokens = Math.min(
-    Math.max(0, mostKept - engine.cachedTokens),
+  const recomputedTokens = Math.min(
+    Math.max(0, maxCachedTokens - engine.cachedTokens),
     input.sharedTokens,
   );
   const costMs =
-    computeTimeCost(predictedMs, input.dueInMs) +
-    rereadTokens * REREAD_MS_PER_TOKEN +
-    countCrossingBytes(engine.failureDomain, input) * CROSSING_MS_PER_BYTE +
-    (engine.isCold ? COLD_MS : 0) +
-    engine.affinityRank * input.sharedTokens * RANK_MS_PER_SHARED_TOKEN;
+    computeTimeCostMs(predictedMs, input.dueInMs) +
+    recomputedTokens * RECOMPUTE_MS_PER_TOKEN +
+    countTransferBytes(engine.failureDomain, input) * TRANSFER_MS_PER_BYTE +
+    (engine.isCold ? COLD_PENALTY_MS : 0) +
+    engine.affinityRank * input.sharedTokens * RANK_PENALTY_MS_PER_SHARED_TOKEN;
   return {
     id: engine.id,
     failureDomain: engine.failureDomain,
@@ -133,26 +136,28 @@
   const queuedCount = activeCount - capacity;
   if (queuedCount < 0) return 0;
   if (queuedCount >= MAX_QUEUED || slotOccupancyMs === undefined)
-    return FULL_MS;
-  return Math.min(FULL_MS, ((queuedCount + 1) * slotOccupancyMs) / capacity);
+    return FULL_PENALTY_MS;
+  return Math.min(
+    FULL_PENALTY_MS,
+    ((queuedCount + 1) * slotOccupancyMs) / capacity,
+  );
 }
 
 // A request that has time to spare waits at the engine that keeps its prompt, and one
 // that has none goes where it begins first.
-function computeTimeCost(
+function computeTimeCostMs(
   predictedMs: number,
   dueInMs: number | undefined,
 ): number {
   if (dueInMs === undefined) return predictedMs;
-  const spareMs = Math.max(0, dueInMs * (1 - RESERVE_SHARE));
-  const lateMs = Math.max(0, predictedMs - spareMs);
+  const onTimeMs = Math.max(0, dueInMs * (1 - SAFETY_MARGIN_SHARE));
+  const lateMs = Math.max(0, predictedMs - onTimeMs);
   return (
-    Math.min(predictedMs, spareMs) * SPARE_TIME_WEIGHT +
-    lateMs * LATE_TIME_WEIGHT
+    Math.min(predictedMs, onTimeMs) * ON_TIME_WEIGHT + lateMs * LATE_WEIGHT
   );
 }
 
-function countCrossingBytes(
+function countTransferBytes(
   failureDomain: string,
   input: AssignmentInput,
 ): number {
--- a/packages/assignment/src/engine-directory.ts
+++ b/packages/assignment/src/engine-directory.ts
@@ -31,14 +31,14 @@
 
 interface AssignedRequest {
   readonly engine: Engine;
-  readonly unreadTokens: number;
+  readonly uncachedTokens: number;
   /** Tokens of other prompts that the engine had to read before this one. */
   readonly tokensAhead: number;
   readonly predictedMs: number;
   /** The engine's slowness that the prediction counted on. */
   readonly slowness: number;
-  readonly sinceMs: number;
-  isRead: boolean;
+  readonly assignedAtMs: number;
+  isPrefilled: boolean;
 }
 
 interface Engine {
@@ -72,21 +72,21 @@
 /** Requests predicted to take less than this say nothing of an engine's speed. */
 const MIN_PREDICTED_MS = 20;
 /** Weight of the newest request in the time that slots are held; some twenty settle it. */
-const HOLD_WEIGHT = 0.05;
+const SLOT_OCCUPANCY_WEIGHT = 0.05;
 /** Assignments whose end was never told are forgotten after this. */
-const MAX_ASSIGNED_MS = 15_000;
+const ASSIGNMENT_TTL_MS = 15_000;
 
 /** What the coordinator knows of all engines: what was assigned to them and what they keep. */
 export class EngineDirectory {
   private readonly getNow: () => number;
   private readonly isLimited: (id: string) => boolean;
   private readonly engines = new Map<string, Engine>();
-  private readonly assigned = new Map<string, AssignedRequest>();
-  private readonly readingSpeed = new PrefillSpeed();
+  private readonly assignments = new Map<string, AssignedRequest>();
+  private readonly prefillSpeed = new PrefillSpeed();
   /** Milliseconds for which requests of a service occupy a slot. */
-  private readonly holdMs = new Map<string, number>();
-  private cacheTokens = new Map<string, number>();
-  private warmUps = new Map<string, WarmUp>();
+  private readonly slotOccupancyMsByService = new Map<string, number>();
+  private cacheTokensByService = new Map<string, number>();
+  private warmUpByService = new Map<string, WarmUp>();
 
   /** @param isLimited Returns whether an engine advertises a rate limit. */
   constructor(
@@ -99,12 +99,12 @@
 
   /** Takes the services of a newer configuration. */
   setConfiguration(table: RouteTable): void {
-    this.cacheTokens = new Map(
+    this.cacheTokensByService = new Map(
       table.configuration.services.flatMap(({name, engine}) =>
         engine ? [[name, engine.cacheTokens] as const] : [],
       ),
     );
-    this.warmUps = new Map(
+    this.warmUpByService = new Map(
       table.configuration.services.flatMap(({name, warmUp}) =>
         warmUp ? [[name, warmUp] as const] : [],
       ),
@@ -118,8 +118,8 @@
       if (!listed.has(id)) this.engines.delete(id);
     }
     for (const record of records) {
-      const known = this.engines.get(record.id);
-      if (known) known.record = record;
+      const engine = this.engines.get(record.id);
+      if (engine) engine.record = record;
       else this.engines.set(record.id, this.createEngine(record));
     }
   }
@@ -138,36 +138,36 @@
 
   /** Chooses an engine; one that is final counts until its end is told. */
   reserveEngine(request: AssignmentRequest): AssignmentChoice | undefined {
-    this.removeForgotten();
+    this.removeExpiredAssignments();
     const {parts} = request;
     const shared = parts.slice(0, -1);
     const promptTokens = countTokens(parts);
     const choice = chooseEngine({
-      engines: this.listViews(request, shared),
+      engines: this.listCandidates(request, shared),
       promptTokens,
       sharedTokens: countTokens(shared),
       inputBytes: new Map(
         request.inputs.map(({failureDomain, bytes}) => [failureDomain, bytes]),
       ),
-      tokensPerMs: this.readingSpeed.getTokensPerMs(request.service),
+      tokensPerMs: this.prefillSpeed.getTokensPerMs(request.service),
       dueInMs: request.dueInMs,
     });
     if (!choice || !request.isFinal) return choice;
     const engine = this.engines.get(choice.id)!;
-    const kept = engine.cache.countCachedTokens(parts);
-    const unreadTokens = Math.max(0, promptTokens - kept);
+    const cachedTokens = engine.cache.countCachedTokens(parts);
+    const uncachedTokens = Math.max(0, promptTokens - cachedTokens);
     this.endAssignment(request.requestId);
-    this.assigned.set(request.requestId, {
+    this.assignments.set(request.requestId, {
       engine,
-      unreadTokens,
+      uncachedTokens,
       tokensAhead: engine.backlogTokens,
       predictedMs: choice.predictedMs,
       slowness: engine.slowness.getValue(this.getNow()),
-      sinceMs: this.getNow(),
-      isRead: false,
+      assignedAtMs: this.getNow(),
+      isPrefilled: false,
     });
     this.recordColdSend(engine);
-    engine.backlogTokens += unreadTokens;
+    engine.backlogTokens += uncachedTokens;
     engine.activeCount += 1;
     engine.cache.recordPrompt(parts);
     return choice;
@@ -189,11 +189,11 @@
       engine.health = recordSuccess(engine.health, this.getNow());
     }
     if (request && progress.step === 'first') {
-      this.recordRead(request, progress.firstMs);
+      this.recordFirstEvent(request, progress.firstMs);
     }
     // What was turned away held its slot for no time, which says nothing of the others.
     if (request && progress.step === 'ended' && !progress.isTurnedAway) {
-      this.recordHold(request);
+      this.recordSlotOccupancy(request);
     }
     if (request && progress.step !== 'first') {
       this.endAssignment(progress.requestId);
@@ -208,72 +208,75 @@
     upstreamId,
     step,
   }: AssignmentProgress): AssignedRequest | undefined {
-    const request = this.assigned.get(requestId);
+    const request = this.assignments.get(requestId);
     if (request?.engine.record.id === upstreamId) return request;
     if (step === 'first') this.endAssignment(requestId);
     return undefined;
   }
 
-  private recordHold({engine, sinceMs}: AssignedRequest): void {
+  private recordSlotOccupancy({engine, assignedAtMs}: AssignedRequest): void {
     const {service} = engine.record;
-    const heldMs = this.getNow() - sinceMs;
-    const before = this.holdMs.get(service) ?? heldMs;
-    this.holdMs.set(service, before + (heldMs - before) * HOLD_WEIGHT);
+    const occupiedMs = this.getNow() - assignedAtMs;
+    const previousMs = this.slotOccupancyMsByService.get(service) ?? occupiedMs;
+    this.slotOccupancyMsByService.set(
+      service,
+      previousMs + (occupiedMs - previousMs) * SLOT_OCCUPANCY_WEIGHT,
+    );
   }
 
   private isCold({record}: Engine): boolean {
-    const warmUp = this.warmUps.get(record.service);
+    const warmUp = this.warmUpByService.get(record.service);
     return this.getNow() < getColdUntilMs(record, warmUp);
   }
 
   private recordColdSend(engine: Engine): void {
-    const warmUp = this.warmUps.get(engine.record.service);
+    const warmUp = this.warmUpByService.get(engine.record.service);
     if (!warmUp || !this.isCold(engine)) return;
     engine.coldPacer.recordSend(this.getNow(), warmUp.requestsPerSecond);
   }
 
-  private recordRead(
+  private recordFirstEvent(
     request: AssignedRequest,
     firstMs: number | undefined,
   ): void {
-    const {engine, predictedMs, unreadTokens, tokensAhead} = request;
+    const {engine, predictedMs, uncachedTokens, tokensAhead} = request;
     this.removeBacklog(request);
     if (firstMs === undefined) return;
-    this.readingSpeed.recordPrefill(
+    this.prefillSpeed.recordPrefill(
       engine.record.service,
-      tokensAhead + unreadTokens,
+      tokensAhead + uncachedTokens,
       firstMs,
     );
     if (predictedMs < MIN_PREDICTED_MS) return;
     const nowMs = this.getNow();
-    const unslowedMs = predictedMs / request.slowness;
-    const sample = Math.min(MAX_SLOWNESS, Math.max(1, firstMs / unslowedMs));
+    const baselineMs = predictedMs / request.slowness;
+    const sample = Math.min(MAX_SLOWNESS, Math.max(1, firstMs / baselineMs));
     engine.slowness.recordSample(sample, nowMs);
   }
 
   private endAssignment(requestId: string): void {
-    const request = this.assigned.get(requestId);
+    const request = this.assignments.get(requestId);
     if (!request) return;
-    this.assigned.delete(requestId);
+    this.assignments.delete(requestId);
     this.removeBacklog(request);
     request.engine.activeCount -= 1;
   }
 
   private removeBacklog(request: AssignedRequest): void {
-    if (request.isRead) return;
-    request.isRead = true;
-    request.engine.backlogTokens -= request.unreadTokens;
+    if (request.isPrefilled) return;
+    request.isPrefilled = true;
+    request.engine.backlogTokens -= request.uncachedTokens;
   }
 
-  private removeForgotten(): void {
-    const oldestMs = this.getNow() - MAX_ASSIGNED_MS;
-    for (const [id, {sinceMs}] of this.assigned) {
-      if (sinceMs >= oldestMs) return;
+  private removeExpiredAssignments(): void {
+    const expiredBeforeMs = this.getNow() - ASSIGNMENT_TTL_MS;
+    for (const [id, {assignedAtMs}] of this.assignments) {
+      if (assignedAtMs >= expiredBeforeMs) return;
       this.endAssignment(id);
     }
   }
 
-  private listViews(
+  private listCandidates(
     request: AssignmentRequest,
     shared: readonly PromptPart[],
   ): EngineCandidate[] {
@@ -287,22 +290,22 @@
         isCandidate(health, nowMs),
     );
     const unlimited = usable.filter(({record}) => !this.isLimited(record.id));
-    const bearing = (unlimited.length > 0 ? unlimited : usable).filter(
+    const available = (unlimited.length > 0 ? unlimited : usable).filter(
       engine => !this.isCold(engine) || engine.coldPacer.isDue(nowMs),
     );
     const key = shared.map(({id}) => id).join(',');
     const ranking = listByRendezvous(
       key,
-      bearing.map(({record}) => record.id),
+      available.map(({record}) => record.id),
     );
     const ranks = new Map(ranking.map((id, rank) => [id, rank]));
-    return bearing.map(engine => ({
+    return available.map(engine => ({
       id: engine.record.id,
       failureDomain: engine.record.failureDomain,
       backlogTokens: engine.backlogTokens,
       activeCount: engine.activeCount,
       capacity: engine.record.capacity,
-      slotOccupancyMs: this.holdMs.get(request.service),
+      slotOccupancyMs: this.slotOccupancyMsByService.get(request.service),
       cachedTokens: engine.cache.countCachedTokens(request.parts),
       slowness: engine.slowness.getValue(nowMs),
       isCold: this.isCold(engine),
@@ -311,7 +314,8 @@
   }
 
   private createEngine(record: RegisteredUpstream): Engine {
-    const tokens = this.cacheTokens.get(record.service) ?? DEFAULT_CACHE_TOKENS;
+    const tokens =
+      this.cacheTokensByService.get(record.service) ?? DEFAULT_CACHE_TOKENS;
     return {
       record,
       cache: new PromptCacheModel(tokens * CACHE_SHARE),
--- a/packages/assignment/src/prefill-speed.ts
+++ b/packages/assignment/src/prefill-speed.ts
@@ -1,9 +1,9 @@
 /** Prompt tokens a millisecond, before anything was learnt of a service. */
-const USUAL_TOKENS_PER_MS = 50;
+const DEFAULT_TOKENS_PER_MS = 50;
 /** Weight of the newest prompt; some twenty settle it. */
-const WEIGHT = 0.05;
+const SAMPLE_WEIGHT = 0.05;
 /** Shorter readings say more of the fixed times around them than of the speed. */
-const MIN_TOKENS = 1000;
+const MIN_SAMPLE_TOKENS = 1000;
 /** Bounds of what is learnt, far beyond any engine known. */
 const MIN_TOKENS_PER_MS = 2;
 /** Upper bound of what is learnt, likewise. */
@@ -15,7 +15,7 @@
 
   /** Returns prompt tokens that a usual engine of the service reads in a millisecond. */
   getTokensPerMs(service: string): number {
-    return this.speeds.get(service) ?? USUAL_TOKENS_PER_MS;
+    return this.speeds.get(service) ?? DEFAULT_TOKENS_PER_MS;
   }
 
   /**
@@ -25,12 +25,12 @@
    * @param tookMs Milliseconds from the send to the first event.
    */
   recordPrefill(service: string, tokens: number, tookMs: number): void {
-    if (tokens < MIN_TOKENS || tookMs <= 0) return;
+    if (tokens < MIN_SAMPLE_TOKENS || tookMs <= 0) return;
     const sample = Math.min(
       MAX_TOKENS_PER_MS,
       Math.max(MIN_TOKENS_PER_MS, tokens / tookMs),
     );
-    const before = this.getTokensPerMs(service);
-    this.speeds.set(service, before + (sample - before) * WEIGHT);
+    const previous = this.getTokensPerMs(service);
+    this.speeds.set(service, previous + (sample - previous) * SAMPLE_WEIGHT);
   }
 }
--- a/packages/assignment/src/prompt-cache-model.ts
+++ b/packages/assignment/src/prompt-cache-model.ts
@@ -7,8 +7,8 @@
 export class PromptCacheModel {
   private readonly capacityTokens: number;
   /** Tokens by part id, the one unused longest first. */
-  private readonly kept = new Map<string, number>();
-  private keptTokens = 0;
+  private readonly tokensByPart = new Map<string, number>();
+  private cachedTokens = 0;
 
   constructor(capacityTokens: number) {
     this.capacityTokens = capacityTokens;
@@ -18,7 +18,7 @@
   countCachedTokens(parts: readonly PromptPart[]): number {
     let tokens = 0;
     for (const part of parts) {
-      if (!this.kept.has(part.id)) break;
+      if (!this.tokensByPart.has(part.id)) break;
       tokens += part.tokens;
     }
     return tokens;
@@ -27,18 +27,18 @@
   /** Notes that the engine has read a prompt. */
   recordPrompt(parts: readonly PromptPart[]): void {
     for (const {id, tokens} of parts) {
-      this.keptTokens += tokens - (this.kept.get(id) ?? 0);
-      this.kept.delete(id);
-      this.kept.set(id, tokens);
+      this.cachedTokens += tokens - (this.tokensByPart.get(id) ?? 0);
+      this.tokensByPart.delete(id);
+      this.tokensByPart.set(id, tokens);
     }
-    this.removeOldest();
+    this.removeLeastRecentlyUsed();
   }
 
-  private removeOldest(): void {
-    for (const [id, tokens] of this.kept) {
-      if (this.keptTokens <= this.capacityTokens) return;
-      this.kept.delete(id);
-      this.keptTokens -= tokens;
+  private removeLeastRecentlyUsed(): void {
+    for (const [id, tokens] of this.tokensByPart) {
+      if (this.cachedTokens <= this.capacityTokens) return;
+      this.tokensByPart.delete(id);
+      this.cachedTokens -= tokens;
     }
   }
 }
--- a/packages/placement/src/placement-controller.ts
+++ b/packages/placement/src/placement-controller.ts
@@ -45,11 +45,11 @@
 }
 
 /** Milliseconds between two plans; loads of models take longer. */
-const ROUND_MS = 3000;
+const ROUND_INTERVAL_MS = 3000;
 /** Milliseconds for an order to be answered; the lease must outlast it. */
 const ORDER_TIMEOUT_MS = 1500;
 /** HTTP status: the engine has taken the order. */
-const APPLIED = 200;
+const ORDER_APPLIED_STATUS = 200;
 
 /**
  * Sends orders while this instance holds the lease. An order goes out only if
@@ -65,7 +65,7 @@
     this.parts = parts;
     this.task = new RepeatingTask(parts.clock, parts.random, async () => {
       await this.runRound().catch(() => {});
-      return ROUND_MS;
+      return ROUND_INTERVAL_MS;
     });
   }
 
@@ -118,8 +118,8 @@
     const isConfirmed = held !== undefined && held.renewedAtMs > readAtMs;
     if (!engine.checksFence && !isConfirmed) held = await lease.renew();
     if (!held) return undefined;
-    const endsAtMs = clock.getNow() + ORDER_TIMEOUT_MS;
-    return endsAtMs < held.validUntilMs ? held : undefined;
+    const latestEndMs = clock.getNow() + ORDER_TIMEOUT_MS;
+    return latestEndMs < held.validUntilMs ? held : undefined;
   }
 
   private async sendOrder(
@@ -144,7 +144,7 @@
         deadline.signal,
       );
       await readBody(response.body);
-      const isApplied = response.status === APPLIED;
+      const isApplied = response.status === ORDER_APPLIED_STATUS;
       logger.logEvent(
         isApplied ? 'placement.order' : 'placement.order-failed',
         {...fields, status: response.status, fence: held.fence},
--- a/packages/placement/src/placement-lease.ts
+++ b/packages/placement/src/placement-lease.ts
@@ -17,7 +17,7 @@
 /** Milliseconds of the placement lease: the longest time without a holder. */
 const LEASE_MS = 10_000;
 /** What clocks of the service and the holder may run apart in one lease. */
-const CLOCK_MARGIN_MS = 1000;
+const CLOCK_SKEW_MARGIN_MS = 1000;
 
 /**
  * The lease under which one instance sends orders. Its time is counted from
@@ -47,9 +47,9 @@
   async renew(): Promise<HeldLease | undefined> {
     if (this.held && this.leaseId !== undefined) {
       const sentAtMs = this.clock.getNow();
-      const isAlive = await this.store.renewLease(this.leaseId);
-      if (isAlive) {
-        this.held = createHeld(this.held.fence, sentAtMs);
+      const isRenewed = await this.store.renewLease(this.leaseId);
+      if (isRenewed) {
+        this.held = createHeldLease(this.held.fence, sentAtMs);
         return this.getValidLease();
       }
       this.held = undefined;
@@ -91,15 +91,15 @@
     }
     this.leaseId = lease.id;
     // The store's revision rises with every write, so each holder's is higher.
-    this.held = createHeld(result.storeRevision, sentAtMs);
+    this.held = createHeldLease(result.storeRevision, sentAtMs);
     return this.getValidLease();
   }
 }
 
-function createHeld(fence: number, sentAtMs: number): HeldLease {
+function createHeldLease(fence: number, sentAtMs: number): HeldLease {
   return {
     fence,
-    validUntilMs: sentAtMs + LEASE_MS - CLOCK_MARGIN_MS,
+    validUntilMs: sentAtMs + LEASE_MS - CLOCK_SKEW_MARGIN_MS,
     renewedAtMs: sentAtMs,
   };
 }
--- a/packages/placement/src/placement-plan.ts
+++ b/packages/placement/src/placement-plan.ts
@@ -129,10 +129,12 @@
     loadsLeft -= loads.length;
     postponedLoads += missing.length - loads.length;
     // A load that is put off must not take an old model away yet.
-    const isPutOff = loads.length < missing.length;
-    const next = isPutOff ? [...new Set([...models, ...loads])].sort() : target;
-    const isSame = [...models].sort().join() === next.join();
-    if (!isSame) orders.push({engine: id, models: next, loads});
+    const isPostponed = loads.length < missing.length;
+    const next = isPostponed
+      ? [...new Set([...models, ...loads])].sort()
+      : target;
+    const isUnchanged = [...models].sort().join() === next.join();
+    if (!isUnchanged) orders.push({engine: id, models: next, loads});
   }
   return {orders, postponedLoads};
 }
--- a/packages/routes/src/route-table.test.ts
+++ b/packages/routes/src/route-table.test.ts
@@ -99,14 +99,14 @@
 
 test('a request ranks by its workspace first, then by its route', () => {
   const urgent = createRoute({priority: 0});
-  const patient = createRoute({priority: 2});
+  const lessUrgent = createRoute({priority: 2});
   const first = {name: 'first', keys: [], priority: 0};
   const second = {name: 'second', keys: [], priority: 1};
   const ranked = [
     computeRequestPriority(urgent, first),
-    computeRequestPriority(patient, first),
+    computeRequestPriority(lessUrgent, first),
     computeRequestPriority(urgent, second),
-    computeRequestPriority(patient, second),
+    computeRequestPriority(lessUrgent, second),
   ];
   assert.deepEqual(
     ranked,
--- a/packages/routes/src/upstream-state.test.ts
+++ b/packages/routes/src/upstream-state.test.ts
@@ -49,18 +49,14 @@
 test('the end of a shortage is not known where upstreams leave, are evacuated or missing', () => {
   const leaving = createUpstream('a', {isLeaving: true});
   const evacuated = createUpstream('b', {isEvacuated: true});
-  const listReasons = (upstreams: RegisteredUpstream[]) => {
-    const shortage = findUnavailability('chat', upstreams, getNoWait);
-    assert.equal(shortage?.waitMs, undefined);
-    assert.ok(shortage!.retryAfterMs > 0);
-    return shortage!.reason;
+  const getReason = (upstreams: RegisteredUpstream[]) => {
+    const unavailability = findUnavailability('chat', upstreams, getNoWait);
+    assert.equal(unavailability?.waitMs, undefined);
+    assert.ok(unavailability!.retryAfterMs > 0);
+    return unavailability!.reason;
   };
   assert.deepEqual(
-    [
-      listReasons([]),
-      listReasons([leaving]),
-      listReasons([leaving, evacuated]),
-    ],
+    [getReason([]), getReason([leaving]), getReason([leaving, evacuated])],
     [
       'no upstream of chat is registered',
       'all upstreams of chat are leaving',
--- a/packages/routes/src/upstream-state.ts
+++ b/packages/routes/src/upstream-state.ts
@@ -27,7 +27,7 @@
  * Milliseconds after which to come back where no upstream of a service takes work:
  * about the time of a restart.
  */
-const SHORTAGE_RETRY_MS = 1000;
+const NO_UPSTREAM_RETRY_AFTER_MS = 1000;
 
 /** Why no upstream of a service takes work now. */
 export interface Unavailability {
@@ -55,9 +55,9 @@
   const waits = upstreams.filter(isAcceptingWork).map(({id}) => getWaitMs(id));
   if (waits.length === 0) {
     return {
-      reason: formatAbsence(service, upstreams),
+      reason: formatNoUpstreamReason(service, upstreams),
       waitMs: undefined,
-      retryAfterMs: SHORTAGE_RETRY_MS,
+      retryAfterMs: NO_UPSTREAM_RETRY_AFTER_MS,
     };
   }
   const waitMs = Math.min(...waits);
@@ -70,7 +70,7 @@
   };
 }
 
-function formatAbsence(
+function formatNoUpstreamReason(
   service: string,
   upstreams: readonly RegisteredUpstream[],
 ): string {
--- a/packages/routing/src/health.test.ts
+++ b/packages/routing/src/health.test.ts
@@ -17,7 +17,7 @@
 const POLICY = DEFAULT_HEALTH_POLICY;
 const AT_MS = 100_000;
 
-function createOut(): HealthState {
+function createEjectedState(): HealthState {
   return recordFailure(createHealthyState(), 'refused', POLICY, AT_MS);
 }
 
@@ -34,12 +34,12 @@
 });
 
 test('a refused connection takes an upstream out at once', () => {
-  assert.equal(createOut().state, 'out');
-  assert.equal(isCandidate(createOut(), AT_MS), false);
+  assert.equal(createEjectedState().state, 'out');
+  assert.equal(isCandidate(createEjectedState(), AT_MS), false);
 });
 
 test('an answered report does not bring an upstream back, one successful trial does', () => {
-  const out = createOut();
+  const out = createEjectedState();
   assert.equal(
     recordLiveReport(out, POLICY, AT_MS + 1, AT_MS + 1).state,
     'out',
@@ -52,7 +52,7 @@
 });
 
 test('each failed trial doubles the wait up to its bound', t => {
-  let health = createOut();
+  let health = createEjectedState();
   const waits = [health.nextTrialAtMs - AT_MS];
   for (let count = 0; count < 7; count++) {
     health = recordFailure(recordTrial(health), 'broken', POLICY, AT_MS);
@@ -71,7 +71,7 @@
 });
 
 test('an upstream that came back gets its full work by degrees', () => {
-  const back = recordSuccess(recordTrial(createOut()), AT_MS);
+  const back = recordSuccess(recordTrial(createEjectedState()), AT_MS);
   const factors = [0, 0.5, 1, 2].map(part =>
     getSlowStartFactor(back, POLICY, AT_MS + part * POLICY.slowStartMs),
   );
@@ -86,7 +86,7 @@
   );
   fc.assert(
     fc.property(steps, sequence => {
-      let health = createOut();
+      let health = createEjectedState();
       let nowMs = AT_MS;
       for (const step of sequence) {
         nowMs += 1000;
--- a/packages/routing/src/health.ts
+++ b/packages/routing/src/health.ts
@@ -71,10 +71,10 @@
 /** Real work succeeded. A leaving upstream that finishes its work stays leaving. */
 export function recordSuccess(health: HealthState, nowMs: number): HealthState {
   if (health.state === 'leaving') return {...health, consecutiveFailures: 0};
-  const isBack = health.state !== 'healthy';
+  const hasRecovered = health.state !== 'healthy';
   return {
     ...createHealthyState(),
-    recoveredAtMs: isBack ? nowMs : health.recoveredAtMs,
+    recoveredAtMs: hasRecovered ? nowMs : health.recoveredAtMs,
   };
 }
 
@@ -89,9 +89,9 @@
   if (health.state === 'leaving')
     return {...health, consecutiveFailures: failureStreak};
   const isTrial = health.state === 'trial';
-  const isOut =
+  const isEjected =
     isTrial || kind === 'refused' || failureStreak >= policy.failuresToEject;
-  if (!isOut) return {...health, consecutiveFailures: failureStreak};
+  if (!isEjected) return {...health, consecutiveFailures: failureStreak};
   // Work that was under way when the upstream went out tells nothing new, and
   // must not push the trial further off.
   if (health.state === 'out')
@@ -128,7 +128,7 @@
 }
 
 // Clocks of upstreams and instances differ by less than this.
-const CLOCK_SKEW_MS = 500;
+const MAX_CLOCK_SKEW_MS = 500;
 
 /**
  * A report says that the upstream was live at a time. One that was leaving
@@ -143,7 +143,7 @@
   nowMs: number,
 ): HealthState {
   if (health.state === 'leaving') {
-    const isFresh = reportAtMs > health.leavingAtMs + CLOCK_SKEW_MS;
+    const isFresh = reportAtMs > health.leavingAtMs + MAX_CLOCK_SKEW_MS;
     if (!isFresh) return health;
     const trialAtMs = Math.max(nowMs, health.backOffUntilMs);
     return {...health, state: 'out', nextTrialAtMs: trialAtMs};
@@ -161,6 +161,6 @@
   nowMs: number,
 ): number {
   if (health.recoveredAtMs === 0) return 1;
-  const grown = (nowMs - health.recoveredAtMs) / policy.slowStartMs;
-  return Math.min(1, 0.2 + 0.8 * Math.max(0, grown));
+  const elapsedShare = (nowMs - health.recoveredAtMs) / policy.slowStartMs;
+  return Math.min(1, 0.2 + 0.8 * Math.max(0, elapsedShare));
 }
--- a/packages/routing/src/rendezvous.ts
+++ b/packages/routing/src/rendezvous.ts
@@ -32,18 +32,18 @@
     queue.push(upstream);
     queues.set(upstream.failureDomain, queue);
   }
-  return chooseInTurn([...queues.values()], size);
+  return chooseRoundRobin([...queues.values()], size);
 }
 
-function chooseInTurn<Item>(queues: Item[][], size: number): Item[] {
-  const taken: Item[] = [];
-  for (let round = 0; taken.length < size; round++) {
+function chooseRoundRobin<Item>(queues: Item[][], size: number): Item[] {
+  const chosen: Item[] = [];
+  for (let round = 0; chosen.length < size; round++) {
     for (const queue of queues) {
-      if (taken.length === size) break;
-      if (round < queue.length) taken.push(queue[round]);
+      if (chosen.length === size) break;
+      if (round < queue.length) chosen.push(queue[round]);
     }
   }
-  return taken;
+  return chosen;
 }
 
 function computeWeight(key: string, id: string): number {
--- a/packages/routing/src/selectors.ts
+++ b/packages/routing/src/selectors.ts
@@ -77,10 +77,10 @@
 
 /** Baseline: one after the other. */
 export class RoundRobinSelector extends UpstreamSelector {
-  private turn = 0;
+  private nextIndex = 0;
 
   protected chooseCandidate({candidates}: ChoiceInput): Choice {
-    const {id} = candidates[this.turn++ % candidates.length];
+    const {id} = candidates[this.nextIndex++ % candidates.length];
     return {id, reason: 'round robin', compared: [id]};
   }
 }
@@ -112,9 +112,9 @@
 /** Candidates that are drawn and compared. */
 const RANDOM_CANDIDATES = 8;
 /** Pools up to this size are compared whole. */
-const SMALL_POOL = 16;
+const SMALL_POOL_SIZE = 16;
 /** Predictions that differ by less than this factor are alike. */
-const LIKENESS = 1.02;
+const NEAR_TIE_FACTOR = 1.02;
 
 /**
  * Chooses the earliest predicted finish: among all of a small pool, else among
@@ -130,12 +130,12 @@
   }
 
   protected chooseCandidate(input: ChoiceInput): Choice {
-    const compared = this.chooseCompared(input);
+    const compared = this.chooseCandidatesToCompare(input);
     const leastMs = Math.min(...compared.map(({predictedMs}) => predictedMs));
-    const alike = compared.filter(
-      ({predictedMs}) => predictedMs <= leastMs * LIKENESS,
+    const nearTies = compared.filter(
+      ({predictedMs}) => predictedMs <= leastMs * NEAR_TIE_FACTOR,
     );
-    const best = alike[Math.floor(this.random() * alike.length)];
+    const best = nearTies[Math.floor(this.random() * nearTies.length)];
     return {
       id: best.id,
       reason: `earliest predicted finish (${best.predictedMs.toFixed(1)} ms)`,
@@ -143,9 +143,9 @@
     };
   }
 
-  private chooseCompared(input: ChoiceInput): readonly Candidate[] {
+  private chooseCandidatesToCompare(input: ChoiceInput): readonly Candidate[] {
     const {candidates, affinityKey} = input;
-    if (candidates.length <= SMALL_POOL) return candidates;
+    if (candidates.length <= SMALL_POOL_SIZE) return candidates;
     const compared = new Set<Candidate>();
     if (affinityKey !== undefined) {
       const byId = new Map(
--- a/packages/routing/src/slowness.ts
+++ b/packages/routing/src/slowness.ts
@@ -23,8 +23,8 @@
 
   /** Notes what a piece of work took over what was expected of it. */
   recordSample(sample: number, nowMs: number): void {
-    const before = this.getValue(nowMs);
-    this.value = before + (sample - before) * this.weight;
+    const previous = this.getValue(nowMs);
+    this.value = previous + (sample - previous) * this.weight;
     this.recordedAtMs = nowMs;
   }
 }
--- a/packages/token-bucket/src/token-bucket.ts
+++ b/packages/token-bucket/src/token-bucket.ts
@@ -6,7 +6,7 @@
   private perSecond: number;
   private burst: number;
   private tokens: number;
-  private filledAtMs: number;
+  private refilledAtMs: number;
   private takenCount = 0;
 
   constructor(clock: Clock, perSecond: number, burst: number) {
@@ -14,12 +14,12 @@
     this.perSecond = perSecond;
     this.burst = burst;
     this.tokens = burst;
-    this.filledAtMs = clock.getNow();
+    this.refilledAtMs = clock.getNow();
   }
 
   /** Takes one token; returns false where none is left. */
   acquire(): boolean {
-    this.addEarnedTokens();
+    this.addAccruedTokens();
     if (this.tokens < 1) return false;
     this.tokens -= 1;
     this.takenCount += 1;
@@ -33,23 +33,23 @@
 
   /** Returns milliseconds until a token is there. */
   getWaitMs(): number {
-    this.addEarnedTokens();
+    this.addAccruedTokens();
     if (this.tokens >= 1) return 0;
     return ((1 - this.tokens) / this.perSecond) * 1000;
   }
 
   /** Sets a new rate; tokens over the new burst are lost. */
   setRate(perSecond: number, burst: number): void {
-    this.addEarnedTokens();
+    this.addAccruedTokens();
     this.perSecond = perSecond;
     this.burst = burst;
     this.tokens = Math.min(this.tokens, burst);
   }
 
-  private addEarnedTokens(): void {
+  private addAccruedTokens(): void {
     const nowMs = this.clock.getNow();
-    const gained = ((nowMs - this.filledAtMs) / 1000) * this.perSecond;
-    this.tokens = Math.min(this.burst, this.tokens + gained);
-    this.filledAtMs = nowMs;
+    const accrued = ((nowMs - this.refilledAtMs) / 1000) * this.perSecond;
+    this.tokens = Math.min(this.burst, this.tokens + accrued);
+    this.refilledAtMs = nowMs;
   }
 }
