--- a/packages/admission/src/adaptive-limit.ts
+++ b/packages/admission/src/adaptive-limit.ts
@@ -1,30 +1,31 @@
-/** Bounds and starting point of a limit. */
+/** Initial value and bounds of an adaptive limit, in slots. */
 export interface AdaptiveLimitOptions {
   readonly initial: number;
   readonly min: number;
   readonly max: number;
 }
 
-/** What the last interval showed. */
+/** Observations of one interval, from which the limit is adjusted. */
 export interface LimitSample {
-  /** Whether work waited for a place of this limit. */
+  /** Whether work waited for a slot of this limit. */
   readonly hadWaitingWork: boolean;
-  /** Requests that the upstreams report as queued, for each one they can work on; 0 where none reports. */
+  /** Queued requests per slot, as the upstreams report them; 0 if none reports. */
   readonly queuedPerSlot: number;
   /** Whether upstreams refused work as overloaded. */
   readonly wasRefused: boolean;
 }
 
-// A short queue keeps an upstream busy between two requests; what waits beyond
-// it waits where this instance can neither order nor refuse it any more.
+// A short queue keeps an upstream busy between two requests. Work queued beyond
+// that can no longer be reordered or refused by this instance.
 const MAX_QUEUED_PER_SLOT = 0.15;
-/** Factor of the limit after a sign of overload; a guess. */
+/** Factor by which the limit shrinks on a sign of overload. */
 const DECREASE_FACTOR = 0.8;
 
 /**
- * How much of a pool one instance may use at a time. It grows by steps while
- * work waits and shrinks by a factor when work queues at the upstreams, so
- * that instances which share a pool come to even shares without a word.
+ * Concurrency limit of one instance for a pool. It increases additively while
+ * work waits and decreases multiplicatively when upstreams report queues or
+ * refuse work, so that instances that share a pool converge to even shares
+ * without communicating.
  */
 export class AdaptiveLimit {
   private options: AdaptiveLimitOptions;
@@ -35,23 +36,23 @@
     this.value = options.initial;
   }
 
-  /** Returns the places, a whole number of at least one. */
+  /** Returns the current limit in slots, a whole number of at least 1. */
   getLimit(): number {
     return Math.max(1, Math.floor(this.value));
   }
 
-  /** Returns the places it began with, however far it has moved since. */
+  /** Returns the initial limit in slots, which samples do not change. */
   getInitial(): number {
     return this.options.initial;
   }
 
-  /** Sets new bounds, as when the pool's size has changed. */
+  /** Sets new bounds, for example after the pool's size has changed, and clamps the limit to them. */
   setBounds(options: AdaptiveLimitOptions): void {
     this.options = options;
     this.value = Math.min(options.max, Math.max(options.min, this.value));
   }
 
-  /** Takes one interval's sample in. */
+  /** Adjusts the limit by the observations of one interval. */
   applySample(sample: LimitSample): void {
     const {min, max} = this.options;
     const isQueueing = sample.queuedPerSlot > MAX_QUEUED_PER_SLOT;
--- a/packages/admission/src/deadline.ts
+++ b/packages/admission/src/deadline.ts
@@ -1,32 +1,29 @@
-/** What is known about a request's chances. */
+/** Input of the deadline check of a request. */
 export interface DeadlineInput {
   readonly nowMs: number;
   /** Milliseconds since the epoch. */
   readonly deadlineMs: number;
-  /** Predicted milliseconds until a place is free. */
+  /** Predicted milliseconds until a slot is free. */
   readonly waitMs: number;
-  /** Predicted milliseconds of the stage at hand and those behind it. */
+  /** Predicted milliseconds of the current stage and those after it. */
   readonly remainingMs: number;
-  /** Share of the prediction that has to fit; under 1 gives the benefit of the doubt. */
+  /** Share of the predicted time that must fit; below 1, requests that may still make it pass. */
   readonly requiredShare: number;
 }
 
-/** Whether to go on, and the figures it rests on. */
+/** Whether the deadline can be met, with the figures behind the verdict. */
 export interface DeadlineVerdict {
   readonly isReachable: boolean;
   readonly leftMs: number;
   readonly neededMs: number;
-  /** Milliseconds after which a try has better chances. */
+  /** Milliseconds after which the caller should retry. */
   readonly retryAfterMs: number;
 }
 
-/**
- * Milliseconds that a refused caller stays away, at least; sooner would only
- * repeat the refusal.
- */
+/** Minimum delay before a refused caller retries; an earlier retry would be refused again. */
 const MIN_RETRY_MS = 100;
 
-/** Judges whether a request can still be answered in its deadline. */
+/** Judges whether a request can still be answered before its deadline. */
 export function judgeDeadline(input: DeadlineInput): DeadlineVerdict {
   const leftMs = input.deadlineMs - input.nowMs;
   const neededMs = (input.waitMs + input.remainingMs) * input.requiredShare;
--- a/packages/admission/src/decisions.test.ts
+++ b/packages/admission/src/decisions.test.ts
@@ -33,7 +33,7 @@
   );
 }
 
-test('the best priority goes first, then the workspace with least in service, then the deadline', () => {
+test('work is ordered by priority, then by the least in-service work of its workspace, then by deadline', () => {
   const late = {workspace: 'a', priority: 5, deadlineMs: 900};
   const early = {workspace: 'a', priority: 5, deadlineMs: 500};
   const other = {workspace: 'b', priority: 5, deadlineMs: 999};
@@ -43,7 +43,7 @@
   assert.equal(chooseNext([early, other, urgent], {a: 3}, 10), 2);
 });
 
-test('urgent work passes a limit that holds the rest back', () => {
+test('urgent work may exceed the limit that blocks other work', () => {
   const slow = {workspace: 'a', priority: 6, deadlineMs: 500};
   const urgent = {workspace: 'a', priority: 1, deadlineMs: 900};
   assert.equal(chooseNext([slow], {a: 9}, 10), -1);
@@ -52,7 +52,7 @@
   assert.equal(chooseNext([slow, urgent], {a: 30}, 10), -1);
 });
 
-test('a limit grows while work waits and shrinks while upstreams report queues', t => {
+test('the adaptive limit grows while work waits and shrinks while upstreams report queues', t => {
   const limit = new AdaptiveLimit({initial: 20, min: 4, max: 60});
   const values: number[] = [];
   const samples = [0, 0, 0, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0, 0];
@@ -67,7 +67,7 @@
   t.assert.snapshot(values);
 });
 
-test('shares add up to the limit, meet small demands whole and split the rest evenly', () => {
+test('shares add up to the limit, cover small demands in full and split the rest evenly', () => {
   const demands = fc.array(fc.double({min: 0, max: 1000, noNaN: true}), {
     minLength: 1,
     maxLength: 40,
@@ -90,7 +90,7 @@
   );
 });
 
-test('a request is refused where even the hoped for part of its time does not fit', t => {
+test('a deadline is unreachable if the required share of the predicted time does not fit', t => {
   const input = {nowMs: 0, deadlineMs: 100, waitMs: 40, remainingMs: 80};
   t.assert.snapshot([
     judgeDeadline({...input, requiredShare: 0.7}),
@@ -99,7 +99,7 @@
   ]);
 });
 
-test('only what is repeatable or did not run is tried again', () => {
+test('only repeatable requests and attempts that did not run are retried', () => {
   const input = {
     attempts: 1,
     maxAttempts: 2,
@@ -117,7 +117,7 @@
   assert.equal(judgeRetry({...input, leftMs: 40}), 'no-time-left');
 });
 
-test('the retry budget keeps retries to a share of the requests', () => {
+test('the retry budget limits retries to a share of the requests', () => {
   const budget = new RetryBudget(0.2, 2);
   let retries = 0;
   for (let request = 0; request < 100; request++) {
@@ -127,7 +127,7 @@
   assert.ok(retries <= 22 && retries >= 20, String(retries));
 });
 
-test('an estimate without new samples goes back to its default', async () => {
+test('an estimate without new samples decays to its default', async () => {
   const clock = new ManualClock();
   const durations = new DurationEstimator(clock);
   durations.recordMs('chat', 9000);
--- a/packages/admission/src/duration-estimator.ts
+++ b/packages/admission/src/duration-estimator.ts
@@ -7,17 +7,17 @@
 }
 
 /**
- * Samples after which the newest one weighs no less: a change of the load is
- * followed within some 30 requests.
+ * Number of samples after which the weight of a new sample stays constant, so
+ * that the mean follows a change of load within about 30 requests.
  */
 const MAX_SAMPLES = 30;
-/** Milliseconds after which a mean without new samples counts half. */
+/** Half-life of the recorded mean while no new samples arrive. */
 const HALF_LIFE_MS = 4000;
 
 /**
- * Estimates how long a stage takes for a class of work, from what it took
- * lately. Without new samples the estimate goes back to its default: a class
- * that is refused because it was slow must get its next try.
+ * Estimates how long a stage takes for a class of work, from recent durations.
+ * Without new samples the estimate decays to its default: a class that is
+ * refused because it was slow produces no samples and must be admitted again.
  */
 export class DurationEstimator {
   private readonly clock: Clock;
@@ -27,7 +27,7 @@
     this.clock = clock;
   }
 
-  /** Adds a duration in milliseconds under a key such as `generate/chat`. */
+  /** Records a duration in milliseconds under a key such as `generate/chat`. */
   recordMs(key: string, durationMs: number): void {
     const recordedAtMs = this.clock.getNow();
     const estimate = this.estimates.get(key);
@@ -40,7 +40,7 @@
     estimate.recordedAtMs = recordedAtMs;
   }
 
-  /** Returns the mean in milliseconds; the default where nothing was recorded or long ago. */
+  /** Returns the mean in milliseconds, which decays to the default; the default if nothing was recorded. */
   getMeanMs(key: string, defaultMs: number): number {
     const estimate = this.estimates.get(key);
     if (!estimate) return defaultMs;
--- a/packages/admission/src/index.ts
+++ b/packages/admission/src/index.ts
@@ -1,4 +1,4 @@
-/** Pure decisions about work: queue order, limits, deadlines, shares and retry budgets. */
+/** Pure admission decisions: queue order, adaptive limits, deadlines, limit shares and retries. */
 export {
   chooseNextWaiting,
   DEFAULT_QUEUE_POLICY,
--- a/packages/admission/src/retry-budget.ts
+++ b/packages/admission/src/retry-budget.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps retries to a share of the requests, so that they cannot multiply the
- * load of a pool that is in trouble.
+ * Limits retries to a share of the requests, so that they cannot multiply the
+ * load of an overloaded or failing pool.
  */
 export class RetryBudget {
   private readonly share: number;
@@ -9,7 +9,7 @@
 
   /**
    * @param share Retries allowed per request, such as 0.2.
-   * @param burst Retries that may be saved up.
+   * @param burst Most retries that the budget can accumulate; also its initial balance.
    */
   constructor(share = 0.2, burst = 20) {
     this.share = share;
@@ -17,12 +17,12 @@
     this.balance = burst;
   }
 
-  /** Counts a request that is sent for the first time. */
+  /** Adds the share of one request to the budget; called on its first attempt only. */
   recordRequest(): void {
     this.balance = Math.min(this.burst, this.balance + this.share);
   }
 
-  /** Takes one retry from the budget; returns false where none is left. */
+  /** Takes one retry from the budget; returns false if none is left. */
   acquireRetry(): boolean {
     if (this.balance < 1) return false;
     this.balance -= 1;
--- a/packages/admission/src/retry-decision.ts
+++ b/packages/admission/src/retry-decision.ts
@@ -1,26 +1,26 @@
-/** What is known about a failed attempt and the time left. */
+/** Input of the retry decision after a failed attempt. */
 export interface RetryInput {
-  /** Attempts made so far, the failed one counted. */
+  /** Attempts made so far, including the failed one. */
   readonly attempts: number;
   readonly maxAttempts: number;
   /** Whether the upstream may have begun the work. */
   readonly mayHaveRun: boolean;
-  /** Whether the work may be done a second time. */
+  /** Whether the work may run a second time. */
   readonly isRepeatable: boolean;
   readonly leftMs: number;
   /** Predicted milliseconds of another attempt. */
   readonly predictedMs: number;
 }
 
-/** Why a failed attempt is or is not followed by another. */
+/** Whether a failed attempt is retried, or why it is not. */
 export type RetryVerdict =
   'retry' | 'not-repeatable' | 'attempts-used-up' | 'no-time-left';
 
-// An attempt that did not run has cost nobody anything. When a failure domain
-// is lost, the first choices are often all among the lost.
+// Attempts that did not run use no upstream capacity. When a failure domain is
+// lost, the first upstreams chosen are often all in that domain.
 const MAX_NOT_RUN_ATTEMPTS = 6;
 
-/** Judges whether another attempt may be made; the retry budget is asked after this. */
+/** Judges whether another attempt may be made; the caller checks the retry budget afterwards. */
 export function judgeRetry(input: RetryInput): RetryVerdict {
   if (input.mayHaveRun && !input.isRepeatable) return 'not-repeatable';
   const maxAttempts = input.mayHaveRun
--- a/packages/admission/src/shares.ts
+++ b/packages/admission/src/shares.ts
@@ -1,19 +1,19 @@
-/** What one instance would use of a workspace's limit. */
+/** How much of a workspace's limit one instance would use. */
 export interface LimitDemand {
   readonly instance: string;
   readonly amount: number;
 }
 
-/** What one instance may use of it. */
+/** How much of a workspace's limit one instance may use. */
 export interface LimitShare {
   readonly instance: string;
   readonly amount: number;
 }
 
 /**
- * Shares a limit among instances: each gets what it asks for up to an even
- * part, what some leave is lent to the others, and what all leave is spread
- * evenly for the demand to come.
+ * Splits a limit among instances by max-min fairness: each gets its demand up
+ * to an even part, and what some do not use goes to the others. What remains
+ * after all demands are met is spread evenly to cover future demand.
  */
 export function computeShares(
   limit: number,
--- a/packages/admission/src/stage-queue.ts
+++ b/packages/admission/src/stage-queue.ts
@@ -1,13 +1,13 @@
-/** One piece of work that waits for a place in a pool. */
+/** Work that waits for a slot in a pool. */
 export interface WaitingWork {
   readonly workspace: string;
-  /** 0 goes first. */
+  /** 0 is the most urgent. */
   readonly priority: number;
   /** Milliseconds since the epoch. */
   readonly deadlineMs: number;
 }
 
-/** How much work of a workspace is in service in the pool. */
+/** Counts of work in service in the pool, by workspace. */
 export interface InServiceCount {
   /** Returns the count of a workspace. */
   getCount(workspace: string): number;
@@ -15,21 +15,21 @@
   readonly total: number;
 }
 
-/** How many places there are. */
+/** Number of slots in a pool for this instance. */
 export interface SlotLimits {
-  /** Places now, as the adaptive limit has it. */
+  /** Current value of the adaptive limit. */
   readonly limit: number;
-  /** Places that the limit began with. */
+  /** Initial value of the adaptive limit. */
   readonly initial: number;
 }
 
-/** How places are given out. */
+/** How slots are shared between urgent and other work. */
 export interface QueuePolicy {
   /** Work with a priority number up to this one is urgent. */
   readonly maxUrgentPriority: number;
-  /** Factor on the initial places for urgent work: upstreams order it before the rest. */
+  /** Factor on the initial slots for urgent work: upstreams run it before other work. */
   readonly urgentFactor: number;
-  /** Share of the places that other work may use, 0 to 1. */
+  /** Share of the slots that work that is not urgent may use, 0 to 1. */
   readonly unreservedShare: number;
 }
 
@@ -41,11 +41,11 @@
 };
 
 /**
- * Chooses which waiting work goes next: the best priority; among its equals
- * the workspace with the least in service, so that none starves another; then
- * the earliest deadline.
+ * Chooses the waiting work to start next: the most urgent priority first, then
+ * the workspace with the least work in service, so that no workspace starves
+ * another, then the earliest deadline.
  *
- * @returns The index into `waiting`, or -1 where none may go now.
+ * @returns The index into `waiting`, or -1 if none may start now.
  */
 export function chooseNextWaiting(
   waiting: readonly WaitingWork[],
