--- a/packages/assignment/src/cold-engines.test.ts
+++ b/packages/assignment/src/cold-engines.test.ts
@@ -1,6 +1,7 @@
-// The load: a hot prompt of 40 requests a second while its home, or a whole failure
-// domain, is cold and bears 9 requests a second an engine. Before cold engines were
-// known, the home got all of them.
+// Guards against overloading cold engines. A hot prompt sends 40 requests per second
+// while its preferred engine, or a whole failure domain, is cold and can serve only 9
+// requests per second per engine. Without warm-up limits, the preferred engine got all
+// of them.
 import type {RegisteredUpstream, RouteTable} from '@hollowstack/routes';
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -34,7 +35,7 @@
   readonly atMs: number;
 }
 
-/** Assigns the hot prompt for some seconds; every request is over after 200 ms. */
+/** Assigns requests of the hot prompt for some seconds; each request ends after 200 ms. */
 function runLoad(
   engines: readonly RegisteredUpstream[],
   seconds: number,
@@ -79,31 +80,36 @@
   return Math.max(0, ...counts);
 }
 
-function findHome(): string {
+function findPreferredEngine(): string {
   const engines = ['x', 'y', 'z'].map(id => createEngine(id));
   return runLoad(engines, 1)[0].id!;
 }
 
-test('a hot prompt stays away from its cold home while warm engines serve it', () => {
-  const home = findHome();
+test('a hot prompt avoids its cold preferred engine while warm engines serve it', () => {
+  const preferredId = findPreferredEngine();
   const engines = ['x', 'y', 'z'].map(id =>
-    createEngine(id, {coldUntilMs: id === home ? 2000 : 0}),
+    createEngine(id, {coldUntilMs: id === preferredId ? 2000 : 0}),
   );
   const assigned = runLoad(engines, 4);
-  const cold = assigned.filter(({id, atMs}) => id === home && atMs < 2000);
+  const cold = assigned.filter(
+    ({id, atMs}) => id === preferredId && atMs < 2000,
+  );
   assert.deepEqual(cold, []);
   assert.ok(assigned.every(({id}) => id !== undefined));
 });
 
-test('a cold engine gets no more in a second than it bears, and what is beyond that gets none', () => {
+test('a cold engine gets no more than its warm-up rate, and requests beyond that get no engine', () => {
   const engines = [createEngine('only', {coldUntilMs: 3000})];
   const assigned = runLoad(engines, 3);
-  const most = countMostInSecond(assigned, 'only');
-  assert.ok(most >= 8 && most <= 10, `${most} in a second`);
+  const mostInSecond = countMostInSecond(assigned, 'only');
+  assert.ok(
+    mostInSecond >= 8 && mostInSecond <= 10,
+    `${mostInSecond} in a second`,
+  );
   assert.ok(assigned.some(({id}) => id === undefined));
 });
 
-test('a failure domain that is taken back counts as cold for a warm-up', () => {
+test('engines of a returned failure domain count as cold for one warm-up', () => {
   const engines = ['x', 'y'].map(id => createEngine(id, {returnedAtMs: 0}));
   const assigned = runLoad(engines, 3);
   for (const id of ['x', 'y']) {
@@ -111,7 +117,7 @@
   }
 });
 
-test('a service without a warm-up is bounded by nothing', () => {
+test('a service without a warm-up has no rate limit for cold engines', () => {
   const engines = [createEngine('only', {coldUntilMs: 3000})];
   const assigned = runLoad(engines, 1, false);
   assert.equal(countMostInSecond(assigned, 'only'), REQUESTS_PER_SECOND);
--- a/packages/assignment/src/engine-choice.test.ts
+++ b/packages/assignment/src/engine-choice.test.ts
@@ -40,31 +40,31 @@
   };
 }
 
-test('an engine that keeps the shared part is worth a short wait', () => {
+test('a short backlog does not outweigh a cached shared part', () => {
   const engines = [
-    createEngine('keeps', {cachedTokens: 13_000, backlogTokens: 12_000}),
+    createEngine('cached', {cachedTokens: 13_000, backlogTokens: 12_000}),
     createEngine('idle'),
   ];
-  assert.equal(chooseEngine(createInput(engines))?.id, 'keeps');
+  assert.equal(chooseEngine(createInput(engines))?.id, 'cached');
 });
 
-test('a long backlog is worth reading the shared part again', () => {
+test('a long backlog outweighs a cached shared part', () => {
   const engines = [
-    createEngine('keeps', {cachedTokens: 13_000, backlogTokens: 60_000}),
+    createEngine('cached', {cachedTokens: 13_000, backlogTokens: 60_000}),
     createEngine('idle'),
   ];
   assert.equal(chooseEngine(createInput(engines))?.id, 'idle');
 });
 
-test('where nobody keeps it, the home of the prompt is chosen', () => {
+test('the engine ranked first is chosen if none has the shared part cached', () => {
   const engines = [
     createEngine('second', {affinityRank: 1}),
-    createEngine('home', {affinityRank: 0}),
+    createEngine('preferred', {affinityRank: 0}),
   ];
-  assert.equal(chooseEngine(createInput(engines))?.id, 'home');
+  assert.equal(chooseEngine(createInput(engines))?.id, 'preferred');
 });
 
-test('a request goes where its inputs lie', () => {
+test('a request goes to the failure domain that stores its inputs', () => {
   const engines = [
     createEngine('far', {failureDomain: 'a'}),
     createEngine('near', {failureDomain: 'b', backlogTokens: 3000}),
@@ -77,7 +77,7 @@
   assert.equal(chooseEngine(input)?.id, 'near');
 });
 
-test('a full engine is the last choice, and none at all gives none', () => {
+test('a full engine is chosen last, and no candidates give no choice', () => {
   const engines = [
     createEngine('full', {activeCount: 64}),
     createEngine('busy', {activeCount: 20, backlogTokens: 30_000}),
@@ -86,7 +86,7 @@
   assert.equal(chooseEngine(createInput([])), undefined);
 });
 
-test('a kept part counts only where all parts before it are kept', () => {
+test('a cached part counts only if all parts before it are cached', () => {
   const cache = new PromptCacheModel(1000);
   cache.recordPrompt([
     {id: 'a', tokens: 100},
@@ -108,7 +108,7 @@
   assert.equal(cache.countCachedTokens([{id: 'b', tokens: 200}]), 200);
 });
 
-test('parts unused longest give way', () => {
+test('the least recently used parts are evicted', () => {
   const cache = new PromptCacheModel(250);
   cache.recordPrompt([{id: 'a', tokens: 100}]);
   cache.recordPrompt([{id: 'b', tokens: 100}]);
@@ -118,10 +118,10 @@
   assert.equal(cache.countCachedTokens([{id: 'b', tokens: 100}]), 0);
 });
 
-test('a prompt with time to spare waits for the engine that keeps its shared part', () => {
-  // 250 ms behind others at its home; 80 ms of reading again elsewhere.
+test('a prompt with time to spare waits for the engine that has its shared part cached', () => {
+  // A backlog of 250 ms at the engine with the cached part; recomputing it elsewhere takes 80 ms.
   const engines = [
-    createEngine('keeps', {cachedTokens: 5_400, backlogTokens: 16_500}),
+    createEngine('cached', {cachedTokens: 5_400, backlogTokens: 16_500}),
     createEngine('idle'),
   ];
   const choose = (dueInMs: number | undefined) =>
@@ -133,19 +133,19 @@
         dueInMs,
       }),
     )?.id;
-  assert.equal(choose(900), 'keeps');
+  assert.equal(choose(900), 'cached');
   assert.equal(choose(150), 'idle');
   assert.equal(choose(-500), 'idle');
 });
 
-test('of prompts of 100 to 50,000 tokens, the one without time to spare gets the idle engine', () => {
+test('of prompts of 100 to 50,000 tokens, only the one without time to spare goes to the idle engine', () => {
   const engines = [
-    createEngine('keeps', {cachedTokens: 5_400, backlogTokens: 20_000}),
+    createEngine('cached', {cachedTokens: 5_400, backlogTokens: 20_000}),
     createEngine('idle'),
   ];
   for (const [ownTokens, id] of [
-    [100, 'keeps'],
-    [6_000, 'keeps'],
+    [100, 'cached'],
+    [6_000, 'cached'],
     [50_000, 'idle'],
   ] as const) {
     const input = createInput(engines, {
@@ -158,12 +158,12 @@
   }
 });
 
-test('a hot prompt waits for a slot at its engine, until others wait there too', () => {
+test('a hot prompt waits for a slot at its engine until others are queued there', () => {
   const choose = (activeCount: number) =>
     chooseEngine(
       createInput(
         [
-          createEngine('keeps', {
+          createEngine('cached', {
             cachedTokens: 5_400,
             activeCount,
             capacity: 12,
@@ -174,7 +174,7 @@
         {promptTokens: 6_000, sharedTokens: 5_400, dueInMs: 900},
       ),
     )?.id;
-  assert.equal(choose(11), 'keeps');
-  assert.equal(choose(12), 'keeps');
+  assert.equal(choose(11), 'cached');
+  assert.equal(choose(12), 'cached');
   assert.equal(choose(14), 'idle');
 });
--- a/packages/assignment/src/engine-choice.ts
+++ b/packages/assignment/src/engine-choice.ts
@@ -1,88 +1,88 @@
-/** An engine as the choice sees it. */
+/** State of one engine at the time of the choice, relative to one request. */
 export interface EngineCandidate {
   readonly id: string;
   readonly failureDomain: string;
-  /** Tokens of prompts that are assigned to it and not read yet. */
+  /** Tokens of assigned prompts that are not prefilled yet. */
   readonly backlogTokens: number;
-  /** Requests that are assigned to it and not over. */
+  /** Assigned requests that have not ended. */
   readonly activeCount: number;
-  /** Requests that it works on at a time. */
+  /** Requests that it processes concurrently. */
   readonly capacity: number;
-  /** Milliseconds for which a request occupies one of its slots, where it was learnt. */
+  /** Mean milliseconds for which a request occupies a slot; undefined before the first sample. */
   readonly slotOccupancyMs: number | undefined;
-  /** Tokens of this prompt, from its beginning, that it keeps. */
+  /** Tokens of the longest prefix of this prompt in its cache. */
   readonly cachedTokens: number;
-  /** How long work takes there over what it takes elsewhere. */
+  /** Duration of work there relative to other engines; 1 is normal. */
   readonly slowness: number;
-  /** Whether it has started a short time ago and bears little yet. */
+  /** Whether it is warming up after a start and has reduced throughput. */
   readonly isCold: boolean;
-  /** Place of the engine in the ranking of this prompt; 0 for its home. */
+  /** Rank of the engine for this prompt in rendezvous hashing; 0 is the preferred engine. */
   readonly affinityRank: number;
 }
 
-/** What a choice is made from. */
+/** One request and the engines that it may go to. */
 export interface AssignmentInput {
   readonly engines: readonly EngineCandidate[];
   readonly promptTokens: number;
   /** Tokens of the prompt that other requests share. */
   readonly sharedTokens: number;
-  /** Bytes of inputs by failure domain. */
+  /** Bytes of the request's inputs by the failure domain that stores them. */
   readonly inputBytes: ReadonlyMap<string, number>;
-  /** Prompt tokens that a usual engine reads in a millisecond. */
+  /** Prefill speed of a typical engine, in prompt tokens per millisecond. */
   readonly tokensPerMs: number;
-  /** Milliseconds in which the first event should come, where that matters. */
+  /** Milliseconds until the first event is due, negative if overdue; absent if there is no such target. */
   readonly dueInMs?: number;
 }
 
-/** The engine chosen, and what decided. */
+/** The chosen engine with its predicted time and cost. */
 export interface AssignmentChoice {
   readonly id: string;
   readonly failureDomain: string;
-  /** Milliseconds to the first event, as predicted. */
+  /** Predicted milliseconds to the first event. */
   readonly predictedMs: number;
   readonly costMs: number;
 }
 
-// What is paid beside the time itself, as milliseconds that one would wait
-// rather than pay it.
+// Costs other than the request's own time, in the milliseconds of waiting that
+// would be accepted to avoid them.
 const RECOMPUTE_MS_PER_TOKEN = 0.03;
 const TRANSFER_MS_PER_BYTE = 50 / 1_000_000;
-/** Milliseconds by which a lower place in the prompt's ranking counts as worse. */
+/** Penalty per rank below the preferred engine. */
 const RANK_PENALTY_MS_PER_SHARED_TOKEN = 0.0015;
 /**
- * Milliseconds by which each request in progress slows an engine down; a
- * step of an engine with some ten of them.
+ * Delay that each request in progress adds; based on the step time of an engine
+ * with about ten requests.
  */
 const ACTIVE_REQUEST_MS = 1.5;
 /**
- * Milliseconds that an engine counts as worse whose slots and queue are full; longer than
- * any usual prompt takes to read.
+ * Penalty of an engine whose slots and queue are full; longer than the prefill
+ * of any usual prompt.
  */
 const FULL_PENALTY_MS = 2000;
 /**
- * Requests that wait at an engine for a slot, at most: engines queue a few and answer
- * the next ones that they are full.
+ * Most requests that wait for a slot at an engine: engines queue a few and
+ * refuse further ones as full.
  */
 const MAX_QUEUED = 2;
 
 /**
- * Milliseconds that one would rather wait at a warm engine than send to a cold
- * one: kept parts and short queues do not pull work there, and what the warm ones
- * could serve only late still goes. A quarter of the tightest objective seen.
+ * Penalty of a cold engine; a quarter of the tightest known objective. Cached
+ * parts and short queues alone do not outweigh it, but a cold engine still gets
+ * the requests that warm ones would serve late.
  */
 const COLD_PENALTY_MS = 250;
 
 /**
- * What a millisecond counts that a request can spare. Not nothing: prompts that wait hold
- * up those behind them.
+ * Weight of a predicted millisecond before the request is late. Above 0,
+ * because a prompt that waits delays those queued behind it.
  */
 const ON_TIME_WEIGHT = 0.3;
-/** What a millisecond counts beyond the time in which the first event should come. */
+/** Weight of a predicted millisecond by which the request is late. */
 const LATE_WEIGHT = 3;
-/** Part of the time left that is not counted on: readings take up to this longer. */
+/** Share of the due time held back as a margin: prefills take up to this much longer than predicted. */
 const SAFETY_MARGIN_SHARE = 0.25;
 
-/** Chooses the engine with the least cost in time, in reading again and in moving. */
+/** Chooses the engine with the least cost: time, recomputed prompt tokens, input transfer and penalties. */
 export function chooseEngine(
   input: AssignmentInput,
 ): AssignmentChoice | undefined {
@@ -126,8 +126,9 @@
   };
 }
 
-// Slots come free one after the other: one of 12 that are held for 1.8 s in 150 ms, which
-// is less than reading a shared part again elsewhere and leaving a copy there.
+// Slots become free one after the other. With 12 slots that are occupied for 1.8 s
+// each, the next is free in 150 ms. Waiting that long costs less than recomputing the
+// shared part on another engine, which would also occupy cache memory there.
 function computeSlotWaitMs({
   activeCount,
   capacity,
@@ -143,8 +144,8 @@
   );
 }
 
-// A request that has time to spare waits at the engine that keeps its prompt, and one
-// that has none goes where it begins first.
+// A request with time to spare waits for the engine that has its prompt cached; a
+// request without goes to the engine that starts it first.
 function computeTimeCostMs(
   predictedMs: number,
   dueInMs: number | undefined,
--- a/packages/assignment/src/engine-directory.test.ts
+++ b/packages/assignment/src/engine-directory.test.ts
@@ -30,7 +30,7 @@
   };
 }
 
-/** A directory of engines `a` and `b`, of which `a` has one request. */
+/** Creates a directory with engines `a` and `b`; `a` has one assigned request. */
 function createDirectory() {
   const directory = new EngineDirectory(() => 0);
   directory.setUpstreams([createEngine('a'), createEngine('b')]);
@@ -40,22 +40,22 @@
   return {directory, assign};
 }
 
-test('an engine that the asker may not use is not counted on', () => {
+test('an excluded engine is not chosen', () => {
   const {assign} = createDirectory();
   assert.equal(assign('r2', ['a']), 'b');
   assert.equal(assign('r3', ['a', 'b']), undefined);
 });
 
-test('the place at an engine is free once the request begins at another one', () => {
+test('the assignment is released once the request starts at another engine', () => {
   const {directory, assign} = createDirectory();
-  assert.equal(assign('r2'), 'b', 'the place at a is taken');
+  assert.equal(assign('r2'), 'b', 'the slot at a is occupied');
   directory.recordProgress({requestId: 'r2', upstreamId: 'b', step: 'ended'});
   directory.recordProgress({requestId: 'r1', upstreamId: 'b', step: 'first'});
   assert.equal(assign('r4', ['b']), 'a');
   assert.equal(assign('r4', ['a']), 'b');
 });
 
-test('late news of an earlier attempt leave the later one its place', () => {
+test('late reports of an earlier attempt do not release the assignment of the later one', () => {
   const {directory, assign} = createDirectory();
   for (const step of ['failed', 'ended'] as const) {
     directory.recordProgress({requestId: 'r1', upstreamId: 'b', step});
--- a/packages/assignment/src/engine-directory.ts
+++ b/packages/assignment/src/engine-directory.ts
@@ -32,10 +32,10 @@
 interface AssignedRequest {
   readonly engine: Engine;
   readonly uncachedTokens: number;
-  /** Tokens of other prompts that the engine had to read before this one. */
+  /** Tokens of other prompts that were queued for prefill before this one. */
   readonly tokensAhead: number;
   readonly predictedMs: number;
-  /** The engine's slowness that the prediction counted on. */
+  /** The engine's slowness used in the prediction. */
   readonly slowness: number;
   readonly assignedAtMs: number;
   isPrefilled: boolean;
@@ -48,42 +48,36 @@
   backlogTokens: number;
   activeCount: number;
   readonly slowness: Slowness;
-  /** Spaces what it gets while it is cold. */
+  /** Paces the requests it gets while it is cold. */
   readonly coldPacer: SendPacer;
 }
 
 /**
- * Tokens that an engine can keep where the configuration does not say; about
- * what the engines of the first deployments have.
+ * Cache size of an engine if the configuration gives none; about that of the
+ * engines in the first deployments.
  */
 const DEFAULT_CACHE_TOKENS = 500_000;
-/** Part of an engine's memory that shared parts can count on. */
+/** Share of an engine's cache capacity that shared parts can rely on. */
 const CACHE_SHARE = 0.8;
-/**
- * Weight of the newest request in the slowness of its engine; some ten
- * requests settle it.
- */
+/** Weight of a new sample in the slowness of its engine; it settles after about ten requests. */
 const SLOWNESS_WEIGHT = 0.2;
-/**
- * Bound of one sample of slowness, so that a lost answer does not rule an
- * engine out for long.
- */
+/** Upper bound of a slowness sample, so that one lost answer does not exclude an engine for long. */
 const MAX_SLOWNESS = 10;
-/** Requests predicted to take less than this say nothing of an engine's speed. */
+/** Requests with a shorter prediction give no slowness sample: they say nothing about the engine's speed. */
 const MIN_PREDICTED_MS = 20;
-/** Weight of the newest request in the time that slots are held; some twenty settle it. */
+/** Weight of a new sample in the mean slot occupancy; it settles after about twenty requests. */
 const SLOT_OCCUPANCY_WEIGHT = 0.05;
-/** Assignments whose end was never told are forgotten after this. */
+/** Age at which assignments are removed whose end was never reported. */
 const ASSIGNMENT_TTL_MS = 15_000;
 
-/** What the coordinator knows of all engines: what was assigned to them and what they keep. */
+/** The coordinator's state of all engines: assigned requests, modelled caches, health and speed. */
 export class EngineDirectory {
   private readonly getNow: () => number;
   private readonly isLimited: (id: string) => boolean;
   private readonly engines = new Map<string, Engine>();
   private readonly assignments = new Map<string, AssignedRequest>();
   private readonly prefillSpeed = new PrefillSpeed();
-  /** Milliseconds for which requests of a service occupy a slot. */
+  /** Mean time for which requests of a service occupy a slot. */
   private readonly slotOccupancyMsByService = new Map<string, number>();
   private cacheTokensByService = new Map<string, number>();
   private warmUpByService = new Map<string, WarmUp>();
@@ -97,7 +91,7 @@
     this.isLimited = isLimited;
   }
 
-  /** Takes the services of a newer configuration. */
+  /** Applies the cache sizes and warm-ups of a newer configuration; engines already listed keep their cache size. */
   setConfiguration(table: RouteTable): void {
     this.cacheTokensByService = new Map(
       table.configuration.services.flatMap(({name, engine}) =>
@@ -111,7 +105,7 @@
     );
   }
 
-  /** Takes the upstreams that are registered now. */
+  /** Replaces the list of engines by the currently registered upstreams; known ones keep their state. */
   setUpstreams(records: readonly RegisteredUpstream[]): void {
     const listed = new Set(records.map(({id}) => id));
     for (const id of this.engines.keys()) {
@@ -131,12 +125,17 @@
       .filter(record => record.service === service);
   }
 
-  /** Notes what an engine said that it keeps. */
+  /** Records prompt parts that an engine reported as cached; unknown engines are ignored. */
   recordCachedParts(id: string, parts: readonly PromptPart[]): void {
     this.engines.get(id)?.cache.recordPrompt(parts);
   }
 
-  /** Chooses an engine; one that is final counts until its end is told. */
+  /**
+   * Chooses an engine. A final request counts toward the engine's load until its
+   * end is reported or the assignment expires.
+   *
+   * @returns undefined if no engine may take the request.
+   */
   reserveEngine(request: AssignmentRequest): AssignmentChoice | undefined {
     this.removeExpiredAssignments();
     const {parts} = request;
@@ -173,7 +172,7 @@
     return choice;
   }
 
-  /** Notes what an instance has seen of an assigned request. */
+  /** Applies the progress that an instance reports of an assigned request. */
   recordProgress(progress: AssignmentProgress): void {
     const request = this.findAssigned(progress);
     const engine = this.engines.get(progress.upstreamId);
@@ -191,7 +190,7 @@
     if (request && progress.step === 'first') {
       this.recordFirstEvent(request, progress.firstMs);
     }
-    // What was turned away held its slot for no time, which says nothing of the others.
+    // A refused request never occupied a slot, so it gives no sample.
     if (request && progress.step === 'ended' && !progress.isTurnedAway) {
       this.recordSlotOccupancy(request);
     }
@@ -200,9 +199,9 @@
     }
   }
 
-  // An instance may have sent the request elsewhere, knowing more of the engine than is
-  // known here: its first event shows that, and the place here is free. Other steps of
-  // another engine are news of an earlier attempt that come late.
+  // An instance that knows more about the engine may have sent the request to another
+  // one. A first event from that engine shows this, and the assignment here is released.
+  // Other steps from another engine are late reports of an earlier attempt.
   private findAssigned({
     requestId,
     upstreamId,
--- a/packages/assignment/src/index.ts
+++ b/packages/assignment/src/index.ts
@@ -1,4 +1,4 @@
-/** Which model engine a request goes to, decided over all instances together. */
+/** Assigns requests to model engines; one coordinator decides for all instances. */
 export {
   chooseEngine,
   type AssignmentChoice,
--- a/packages/assignment/src/prefill-speed.test.ts
+++ b/packages/assignment/src/prefill-speed.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {PrefillSpeed} from './prefill-speed.ts';
 
-test('the reading speed of a service is learnt from long prompts, each service apart', () => {
+test('the prefill speed is estimated per service, from long prompts only', () => {
   const speed = new PrefillSpeed();
   const before = speed.getTokensPerMs('a');
   for (let request = 0; request < 200; request++) {
@@ -13,7 +13,7 @@
   assert.equal(speed.getTokensPerMs('b'), before);
 });
 
-test('one odd answer moves the speed by little', () => {
+test('a single outlier changes the speed only a little', () => {
   const speed = new PrefillSpeed();
   const before = speed.getTokensPerMs('a');
   speed.recordPrefill('a', 4000, 60_000);
--- a/packages/assignment/src/prefill-speed.ts
+++ b/packages/assignment/src/prefill-speed.ts
@@ -1,27 +1,27 @@
-/** Prompt tokens a millisecond, before anything was learnt of a service. */
+/** Speed assumed before a service has samples. */
 const DEFAULT_TOKENS_PER_MS = 50;
-/** Weight of the newest prompt; some twenty settle it. */
+/** Weight of a new sample; the speed settles after about twenty prompts. */
 const SAMPLE_WEIGHT = 0.05;
-/** Shorter readings say more of the fixed times around them than of the speed. */
+/** Fewer tokens give no sample: their duration is dominated by fixed overhead. */
 const MIN_SAMPLE_TOKENS = 1000;
-/** Bounds of what is learnt, far beyond any engine known. */
+/** Lower bound of a sample, far below any known engine. */
 const MIN_TOKENS_PER_MS = 2;
-/** Upper bound of what is learnt, likewise. */
+/** Upper bound of a sample, far above any known engine. */
 const MAX_TOKENS_PER_MS = 2000;
 
-/** How fast the engines of each service read prompts, learnt from first events. */
+/** Estimates the prefill speed of each service's engines from the time to the first event. */
 export class PrefillSpeed {
   private readonly speeds = new Map<string, number>();
 
-  /** Returns prompt tokens that a usual engine of the service reads in a millisecond. */
+  /** Returns the prefill speed of a typical engine of the service, in prompt tokens per millisecond. */
   getTokensPerMs(service: string): number {
     return this.speeds.get(service) ?? DEFAULT_TOKENS_PER_MS;
   }
 
   /**
-   * Notes how long an engine took to read.
+   * Records the prefill time of a prompt.
    *
-   * @param tokens Tokens that it had to read: the prompt's and those before it.
+   * @param tokens Tokens that the engine had to prefill: the prompt's and those queued before it.
    * @param tookMs Milliseconds from the send to the first event.
    */
   recordPrefill(service: string, tokens: number, tookMs: number): void {
--- a/packages/assignment/src/prompt-cache-model.ts
+++ b/packages/assignment/src/prompt-cache-model.ts
@@ -1,12 +1,12 @@
 import type {PromptPart} from '@hollowstack/types';
 
 /**
- * A model of the prompt parts that an engine keeps: a part is of use only where
- * all parts before it are kept, and those unused longest give way.
+ * Models the prefix cache of an engine: a prompt part is usable only if all
+ * parts before it are cached, and the least recently used parts are evicted.
  */
 export class PromptCacheModel {
   private readonly capacityTokens: number;
-  /** Tokens by part id, the one unused longest first. */
+  /** Tokens by part id, the least recently used first. */
   private readonly tokensByPart = new Map<string, number>();
   private cachedTokens = 0;
 
@@ -14,7 +14,7 @@
     this.capacityTokens = capacityTokens;
   }
 
-  /** Returns how many tokens of the prompt, from its beginning, are kept. */
+  /** Returns the number of tokens in the longest cached prefix of the prompt. */
   countCachedTokens(parts: readonly PromptPart[]): number {
     let tokens = 0;
     for (const part of parts) {
@@ -24,7 +24,7 @@
     return tokens;
   }
 
-  /** Notes that the engine has read a prompt. */
+  /** Adds the parts of a prompt that the engine has prefilled, and evicts over capacity. */
   recordPrompt(parts: readonly PromptPart[]): void {
     for (const {id, tokens} of parts) {
       this.cachedTokens += tokens - (this.tokensByPart.get(id) ?? 0);
