--- a/packages/routing/src/cache-index.ts
+++ b/packages/routing/src/cache-index.ts
@@ -1,12 +1,12 @@
 import type {CacheEvent} from '@hollowstack/types';
 
-/** Prefixes that are remembered; a bound on memory. */
+/** Most prefixes stored per engine, which bounds memory. */
 const MAX_PREFIXES = 20_000;
 
 /**
- * What one engine is believed to hold in its prefix cache, from late events
- * with gaps. A gap may hide evictions, so it halves the belief in what was
- * stored before it instead of dropping all of it.
+ * Estimates the contents of one engine's prefix cache from its cache events,
+ * which arrive late and with gaps. A gap may hide evictions, so each gap halves
+ * the expected value of earlier entries instead of dropping them.
  */
 export class CacheIndex {
   private readonly prefixes = new Map<string, number>();
@@ -17,7 +17,7 @@
     return this.lastSequence;
   }
 
-  /** Takes events in; ones that were seen before change nothing. */
+  /** Applies events in order of their sequence number; repeated ones have no effect. */
   applyEvents(events: readonly CacheEvent[]): void {
     for (const event of events) {
       if (event.sequence <= this.lastSequence) continue;
@@ -28,13 +28,13 @@
     }
   }
 
-  /** Forgets everything, as after the engine's restart. */
+  /** Removes all prefixes and resets the sequence number, for example after a restart of the engine. */
   removeAll(): void {
     this.prefixes.clear();
     this.lastSequence = 0;
   }
 
-  /** Estimates how many characters of a prompt are cached. */
+  /** Returns the expected number of cached characters of a prompt. */
   predictCachedCharacters(prompt: string, blockCharacters: number): number {
     let end = blockCharacters;
     let expected = 0;
--- a/packages/routing/src/health.test.ts
+++ b/packages/routing/src/health.test.ts
@@ -21,7 +21,7 @@
   return recordFailure(createHealthyState(), 'refused', POLICY, AT_MS);
 }
 
-test('three failures of work in a row take an upstream out, a success between clears them', () => {
+test('three consecutive failures eject an upstream, and a success in between resets the count', () => {
   let health = createHealthyState();
   for (const step of ['fail', 'fail', 'succeed', 'fail', 'fail']) {
     health =
@@ -33,12 +33,12 @@
   assert.equal(recordFailure(health, 'broken', POLICY, AT_MS).state, 'out');
 });
 
-test('a refused connection takes an upstream out at once', () => {
+test('a refused connection ejects an upstream at once', () => {
   assert.equal(createEjectedState().state, 'out');
   assert.equal(isCandidate(createEjectedState(), AT_MS), false);
 });
 
-test('an answered report does not bring an upstream back, one successful trial does', () => {
+test('an answered report does not end an ejection, but one successful trial does', () => {
   const out = createEjectedState();
   assert.equal(
     recordLiveReport(out, POLICY, AT_MS + 1, AT_MS + 1).state,
@@ -51,7 +51,7 @@
   assert.equal(recordSuccess(trial, trialAtMs).state, 'healthy');
 });
 
-test('each failed trial doubles the wait up to its bound', t => {
+test('each failed trial doubles the delay up to its maximum', t => {
   let health = createEjectedState();
   const waits = [health.nextTrialAtMs - AT_MS];
   for (let count = 0; count < 7; count++) {
@@ -61,7 +61,7 @@
   t.assert.snapshot(waits);
 });
 
-test('a leaving upstream comes back only by a report fresher than its leaving', () => {
+test('a leaving upstream becomes a candidate only by a report newer than its leaving report', () => {
   const leaving = recordLeaving(createHealthyState(), AT_MS);
   assert.equal(isCandidate(leaving, AT_MS + 60_000), false);
   const lagging = recordLiveReport(leaving, POLICY, AT_MS - 2000, AT_MS + 100);
@@ -70,7 +70,7 @@
   assert.equal(isCandidate(fresh, AT_MS + 2000), true);
 });
 
-test('an upstream that came back gets its full work by degrees', () => {
+test('a recovered upstream ramps up to its full share', () => {
   const back = recordSuccess(recordTrial(createEjectedState()), AT_MS);
   const factors = [0, 0.5, 1, 2].map(part =>
     getSlowStartFactor(back, POLICY, AT_MS + part * POLICY.slowStartMs),
@@ -78,7 +78,7 @@
   assert.deepEqual(factors, [0.2, 0.6000000000000001, 1, 1]);
 });
 
-test('no sequence of reports alone makes an upstream that is out healthy', () => {
+test('no sequence of reports makes an ejected upstream healthy without a trial', () => {
   const steps = fc.array(
     fc.constantFrom('live', 'fail', 'refuse', 'leave') as fc.Arbitrary<
       'live' | 'fail' | 'refuse' | 'leave'
--- a/packages/routing/src/health.ts
+++ b/packages/routing/src/health.ts
@@ -1,30 +1,30 @@
-/** What is known of one upstream's health; a plain value that transitions replace. */
+/** Health of one upstream; an immutable value that each transition replaces. */
 export interface HealthState {
   readonly state: 'healthy' | 'out' | 'trial' | 'leaving';
-  /** Failures in a row of real work; only a success of real work clears it. */
+  /** Consecutive failures of requests; only a successful request resets the count. */
   readonly consecutiveFailures: number;
-  /** How often it was taken out since its last success. */
+  /** Number of ejections since the last success. */
   readonly ejectionCount: number;
-  /** Milliseconds since the epoch; when a trial may be made. */
+  /** When the next trial may be made, in milliseconds since the epoch. */
   readonly nextTrialAtMs: number;
-  /** When it last came back, for the slow start; 0 for never. */
+  /** When it last recovered, for the slow start; 0 if never. */
   readonly recoveredAtMs: number;
-  /** When it was last said to be leaving. */
+  /** When it was last reported as leaving. */
   readonly leavingAtMs: number;
-  /** Until when it has asked for no work; 0 where it has not. */
+  /** End of the back-off that it asked for; 0 if it asked for none. */
   readonly backOffUntilMs: number;
 }
 
-/** Thresholds and times of the health decisions. */
+/** Thresholds and times of the health transitions. */
 export interface HealthPolicy {
-  /** Failures in a row after which an upstream is taken out. */
+  /** Consecutive failures after which an upstream is ejected. */
   readonly failuresToEject: number;
-  /** Milliseconds before the first trial; doubled with each failed one. */
+  /** Milliseconds from the first ejection to its trial; doubles with each failed trial. */
   readonly trialDelayMs: number;
   readonly maxTrialDelayMs: number;
-  /** Milliseconds over which an upstream that came back gets its full share. */
+  /** Milliseconds over which a recovered upstream ramps up to its full share. */
   readonly slowStartMs: number;
-  /** Whether an answered load report brings an upstream back; a baseline. */
+  /** Whether an answered load report ends an ejection; a baseline for comparisons. */
   readonly reportRestores: boolean;
 }
 
@@ -38,12 +38,12 @@
 };
 
 /**
- * How a piece of work failed. `refused`: the connection was refused, which
- * proves at once that nobody serves there; `broken`: anything else.
+ * How a request failed. `refused`: the connection was refused, which proves
+ * that no process listens there; `broken`: anything else.
  */
 export type FailureKind = 'refused' | 'broken';
 
-/** Returns the state of an upstream that nothing is known against. */
+/** Returns the initial state, without failures. */
 export function createHealthyState(): HealthState {
   return {
     state: 'healthy',
@@ -56,19 +56,19 @@
   };
 }
 
-/** Returns whether new work may go to the upstream now. */
+/** Returns whether new work may go to the upstream now, as normal work or as a trial. */
 export function isCandidate(health: HealthState, nowMs: number): boolean {
   if (health.state === 'healthy') return true;
   return health.state === 'out' && nowMs >= health.nextTrialAtMs;
 }
 
-/** Work that goes to an upstream which is out is its trial: one at a time. */
+/** Records that work is sent to an ejected upstream as its trial; one trial runs at a time. */
 export function recordTrial(health: HealthState): HealthState {
   if (health.state !== 'out') return health;
   return {...health, state: 'trial'};
 }
 
-/** Real work succeeded. A leaving upstream that finishes its work stays leaving. */
+/** Records a successful request. A leaving upstream that finishes its work stays leaving. */
 export function recordSuccess(health: HealthState, nowMs: number): HealthState {
   if (health.state === 'leaving') return {...health, consecutiveFailures: 0};
   const hasRecovered = health.state !== 'healthy';
@@ -78,7 +78,7 @@
   };
 }
 
-/** Real work failed. */
+/** Records a failed request and ejects the upstream if the policy requires it. */
 export function recordFailure(
   health: HealthState,
   kind: FailureKind,
@@ -92,8 +92,8 @@
   const isEjected =
     isTrial || kind === 'refused' || failureStreak >= policy.failuresToEject;
   if (!isEjected) return {...health, consecutiveFailures: failureStreak};
-  // Work that was under way when the upstream went out tells nothing new, and
-  // must not push the trial further off.
+  // Work that was in flight at the time of the ejection gives no new evidence and
+  // must not delay the trial.
   if (health.state === 'out')
     return {...health, consecutiveFailures: failureStreak};
   const delayMs = Math.min(
@@ -109,14 +109,15 @@
   };
 }
 
-/** The upstream or the platform says that it is leaving. */
+/** Records that the upstream or the platform reported the upstream as leaving. */
 export function recordLeaving(health: HealthState, nowMs: number): HealthState {
   return {...health, state: 'leaving', leavingAtMs: nowMs};
 }
 
 /**
- * The upstream turned work away and named a time for which it wants none. Whether it
- * is full or leaves is not known until it reports; neither way it gets work before.
+ * Records that the upstream refused work and asked for a back-off of `forMs`. It
+ * counts as leaving until its next report, because a full upstream cannot be
+ * distinguished from a leaving one before that.
  */
 export function recordBackOff(
   health: HealthState,
@@ -127,14 +128,14 @@
   return {...recordLeaving(health, nowMs), backOffUntilMs};
 }
 
-// Clocks of upstreams and instances differ by less than this.
+// Largest expected difference between the clocks of upstreams and instances.
 const MAX_CLOCK_SKEW_MS = 500;
 
 /**
- * A report says that the upstream was live at a time. One that was leaving
- * becomes a candidate again by way of a trial, if the report is fresher than
- * the word that it leaves; one that is out stays out, because a wedged
- * upstream answers its reports as well.
+ * Records a report that the upstream was live at `reportAtMs`. A leaving upstream
+ * becomes a candidate for a trial if the report is newer than the one that it
+ * leaves. An ejected upstream stays ejected, because a wedged upstream may still
+ * answer report requests.
  */
 export function recordLiveReport(
   health: HealthState,
@@ -154,7 +155,7 @@
   return health;
 }
 
-/** Returns the share of its full work that an upstream gets, from 0.2 up to 1. */
+/** Returns the share of its normal load that a recovering upstream gets, from 0.2 to 1. */
 export function getSlowStartFactor(
   health: HealthState,
   policy: HealthPolicy,
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
-/** Pure decisions about upstreams: health, load, candidates and the choice among them. */
+/** Pure routing decisions: health and load of upstreams, and the choice among candidates. */
 export {
   createHealthyState,
   getSlowStartFactor,
--- a/packages/routing/src/load.ts
+++ b/packages/routing/src/load.ts
@@ -1,21 +1,22 @@
 /**
- * What is known of one upstream's load; a plain value that transitions replace.
- * The load that reports tell of is left out on purpose: it is a second old, and
- * instances that all act on it send their work to the same upstream at once.
+ * Load of one upstream; an immutable value that each transition replaces. It
+ * deliberately excludes the load that upstreams report: reports are about a
+ * second old, and instances that all act on them send their work to the same
+ * upstream at once.
  */
 export interface LoadState {
-  /** This instance's own requests in progress there. */
+  /** Requests of this instance in flight there. */
   readonly ownInFlight: number;
-  /** How long work takes there over what the same work takes elsewhere; 1 for alike. */
+  /** Duration of work there relative to the same work elsewhere; 1 is equal. */
   readonly slowness: number;
 }
 
-/** Weight of the newest piece of work in the slowness. */
+/** Weight of a new sample in the slowness. */
 const SLOWNESS_WEIGHT = 0.15;
-/** Slowness between this and its inverse is noise and counts as 1. */
+/** A slowness between this factor and its inverse is treated as noise and counts as 1. */
 const SLOWNESS_NOISE = 1.5;
 
-/** Returns the state of an upstream that nothing is known about. */
+/** Returns the initial state: nothing in flight, and a slowness of 1. */
 export function createLoadState(): LoadState {
   return {
     ownInFlight: 0,
@@ -23,42 +24,42 @@
   };
 }
 
-/** A request of this instance was sent. */
+/** Records that this instance sent a request. */
 export function recordDispatch(load: LoadState): LoadState {
   return {...load, ownInFlight: load.ownInFlight + 1};
 }
 
-/** A request of this instance has ended, in whatever way. */
+/** Records that a request of this instance ended, with success or not. */
 export function recordCompletion(load: LoadState): LoadState {
   return {...load, ownInFlight: Math.max(0, load.ownInFlight - 1)};
 }
 
 /**
- * A piece of work was finished.
+ * Records the slowness of finished work.
  *
- * @param slowness What it took over what was expected of it.
+ * @param slowness Its actual duration divided by the expected one.
  */
 export function recordSlowness(load: LoadState, slowness: number): LoadState {
   const change = (slowness - load.slowness) * SLOWNESS_WEIGHT;
   return {...load, slowness: load.slowness + change};
 }
 
-/** Returns by what factor work there is slower, with its noise taken out. */
+/** Returns the slowness without noise: values close to 1 become 1. */
 export function getEffectiveSlowness({slowness}: LoadState): number {
   const isNoise = slowness < SLOWNESS_NOISE && slowness > 1 / SLOWNESS_NOISE;
   return isNoise ? 1 : slowness;
 }
 
-/** Computes this instance's requests there, for each request it can work on at a time. */
+/** Computes the in-flight requests of this instance per slot of the upstream. */
 export function computeOccupancy(load: LoadState, slots: number): number {
   return load.ownInFlight / slots;
 }
 
 /**
- * Predicts how long a piece of work takes there.
+ * Predicts the duration of work there.
  *
- * @param expectedMs What the same work takes at an upstream without other load.
- * @param slots Requests that the upstream works on at the same time.
+ * @param expectedMs Duration of the same work at an idle upstream.
+ * @param slots Requests that the upstream processes concurrently.
  */
 export function predictDurationMs(
   load: LoadState,
--- a/packages/routing/src/rendezvous.ts
+++ b/packages/routing/src/rendezvous.ts
@@ -1,7 +1,7 @@
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** Ranks ids for a key, the best first; each id's place depends on it and the key alone. */
+/** Ranks ids for a key by rendezvous hashing, the best first; adding or removing an id does not reorder the others. */
 export function listByRendezvous(
   key: string,
   ids: readonly string[],
@@ -13,9 +13,9 @@
 }
 
 /**
- * Chooses the upstreams that one instance uses of a large pool, so that
- * connections and reports per instance do not grow with the pool. Each failure
- * domain is represented as evenly as it can be.
+ * Chooses the subset of a large pool that one instance uses, so that its
+ * connections and load reports do not grow with the pool. The subset spreads
+ * over the failure domains as evenly as possible.
  */
 export function chooseSubset<Item extends {id: string; failureDomain: string}>(
   instanceId: string,
@@ -52,8 +52,8 @@
   for (let index = 0; index < text.length; index++) {
     hash = Math.imul(hash ^ text.charCodeAt(index), FNV_PRIME);
   }
-  // FNV's high bits hardly move for short texts that differ at their end; a
-  // final mix spreads them.
+  // The high bits of FNV barely differ between short texts that differ at the
+  // end, so a final mix spreads them.
   hash ^= hash >>> 16;
   hash = Math.imul(hash, 0x85ebca6b);
   hash ^= hash >>> 13;
--- a/packages/routing/src/selectors.ts
+++ b/packages/routing/src/selectors.ts
@@ -1,34 +1,34 @@
 import {match} from 'ts-pattern';
 import {listByRendezvous} from './rendezvous.ts';
 
-/** One upstream that could take the work, as a selector sees it. */
+/** One upstream that could take the work. */
 export interface Candidate {
   readonly id: string;
-  /** This instance's own requests in progress there. */
+  /** Requests of this instance in flight there. */
   readonly ownInFlight: number;
-  /** Predicted milliseconds for this piece of work, cache and slow start counted in. */
+  /** Predicted milliseconds for this work, including the effects of cache and slow start. */
   readonly predictedMs: number;
 }
 
-/** What a choice is made from. */
+/** Candidates for one unit of work. */
 export interface ChoiceInput {
-  /** At least one. */
+  /** Upstreams to choose from; may be empty. */
   readonly candidates: readonly Candidate[];
-  /** Work with the same key likely shares a prompt prefix. */
+  /** Key of the prompt prefix: work with the same key likely shares it. */
   readonly affinityKey: string | undefined;
 }
 
-/** The upstream chosen, and why. */
+/** The chosen upstream and the reason. */
 export interface Choice {
   readonly id: string;
   readonly reason: string;
-  /** Ids that were compared, the chosen one among them. */
+  /** Ids of the compared upstreams, including the chosen one. */
   readonly compared: readonly string[];
 }
 
-/** Chooses one upstream among candidates. */
+/** Strategy that chooses one upstream among candidates. */
 export abstract class UpstreamSelector {
-  /** @returns undefined where there are no candidates. */
+  /** @returns undefined if there are no candidates. */
   chooseUpstream(input: ChoiceInput): Choice | undefined {
     if (input.candidates.length === 0) return undefined;
     return this.chooseCandidate(input);
@@ -37,17 +37,21 @@
   protected abstract chooseCandidate(input: ChoiceInput): Choice;
 }
 
-/** The names under which selectors can be asked for. */
+/** Names that `createSelector` accepts. */
 export const SELECTOR_NAMES = [
   'predicted-finish',
   'least-in-flight',
   'round-robin',
   'random',
 ] as const;
-/** The name of a selector. */
+/** Name that `createSelector` accepts. */
 export type SelectorName = (typeof SELECTOR_NAMES)[number];
 
-/** Creates a selector by name. */
+/**
+ * Creates a selector by name.
+ *
+ * @param random Returns a number from 0 to below 1.
+ */
 export function createSelector(
   name: SelectorName,
   random: () => number,
@@ -60,7 +64,7 @@
     .exhaustive();
 }
 
-/** Baseline: any candidate, evenly. */
+/** Baseline: chooses uniformly at random. */
 export class RandomSelector extends UpstreamSelector {
   private readonly random: () => number;
 
@@ -75,7 +79,7 @@
   }
 }
 
-/** Baseline: one after the other. */
+/** Baseline: chooses the candidates in turn. */
 export class RoundRobinSelector extends UpstreamSelector {
   private nextIndex = 0;
 
@@ -85,7 +89,7 @@
   }
 }
 
-/** Baseline: fewest requests of this instance in progress; ties at random. */
+/** Baseline: chooses the fewest in-flight requests of this instance; breaks ties at random. */
 export class LeastInFlightSelector extends UpstreamSelector {
   private readonly random: () => number;
 
@@ -106,20 +110,21 @@
   }
 }
 
-// Two homes for each prefix: one would make a popular prefix a hot spot, more
-// would cost each engine's cache room.
+// Two preferred upstreams for each prefix: one would make a popular prefix a hot
+// spot, and more would use up cache memory on each engine.
 const AFFINITY_CANDIDATES = 2;
-/** Candidates that are drawn and compared. */
+/** Candidates drawn at random for comparison. */
 const RANDOM_CANDIDATES = 8;
-/** Pools up to this size are compared whole. */
+/** Pools up to this size are compared in full. */
 const SMALL_POOL_SIZE = 16;
-/** Predictions that differ by less than this factor are alike. */
+/** Predictions within this factor of the best one count as tied. */
 const NEAR_TIE_FACTOR = 1.02;
 
 /**
- * Chooses the earliest predicted finish: among all of a small pool, else among
- * the homes of the work's prefix and some at random. Alike ones are drawn at
- * random, or instances that know the same would all choose the same.
+ * Chooses the earliest predicted finish, in a small pool among all candidates,
+ * otherwise among the preferred upstreams of the prefix and a random sample.
+ * Near ties are broken at random, because instances with the same state would
+ * otherwise all choose the same upstream.
  */
 export class PredictedFinishSelector extends UpstreamSelector {
   private readonly random: () => number;
--- a/packages/routing/src/slowness.test.ts
+++ b/packages/routing/src/slowness.test.ts
@@ -10,7 +10,7 @@
   assert.equal(slowness.getValue(0), 4);
 });
 
-test('an upstream that was slow and gets no work counts as usual again in time', () => {
+test('the slowness of an upstream without work decays towards 1', () => {
   const slowness = new Slowness(1);
   slowness.recordSample(5, 0);
   assert.equal(slowness.getValue(4000), 3);
@@ -18,10 +18,10 @@
   assert.ok(slowness.getValue(20_000) < 1.2);
 });
 
-test('one that is still slow is left alone again after its next work', () => {
+test('one more slow sample after the decay marks the upstream as slow again', () => {
   const slowness = new Slowness(0.3);
   for (let call = 0; call < 10; call++) slowness.recordSample(5, 0);
-  const faded = slowness.getValue(8000);
+  const decayed = slowness.getValue(8000);
   slowness.recordSample(5, 8000);
-  assert.ok(faded < 2 && slowness.getValue(8000) > 2);
+  assert.ok(decayed < 2 && slowness.getValue(8000) > 2);
 });
--- a/packages/routing/src/slowness.ts
+++ b/packages/routing/src/slowness.ts
@@ -1,13 +1,13 @@
-/** Milliseconds in which what was learnt of a slow upstream loses half its weight. */
+/** Half-life of the recorded slowness while no new samples arrive. */
 const HALF_LIFE_MS = 4000;
 
 /**
- * How long work takes at an upstream over what the same work takes elsewhere; 1
- * for alike. It fades with time: one that is left alone for its slowness gets
- * no work by which it could show that it is well again.
+ * Duration of work at an upstream relative to the same work elsewhere; 1 is
+ * equal. It decays towards 1: an upstream avoided as slow gets no work that could
+ * show its recovery.
  */
 export class Slowness {
-  /** Weight of the newest piece of work. */
+  /** Weight of a new sample, from 0 to 1. */
   private readonly weight: number;
   private value = 1;
   private recordedAtMs = 0;
@@ -21,7 +21,7 @@
     return 1 + (this.value - 1) * 0.5 ** (ageMs / HALF_LIFE_MS);
   }
 
-  /** Notes what a piece of work took over what was expected of it. */
+  /** Records the actual duration of work divided by the expected one. */
   recordSample(sample: number, nowMs: number): void {
     const previous = this.getValue(nowMs);
     this.value = previous + (sample - previous) * this.weight;
--- a/packages/token-bucket/src/token-bucket.ts
+++ b/packages/token-bucket/src/token-bucket.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@hollowstack/clock';
 
-/** A token bucket: `perSecond` on average, `burst` at once. */
+/** Token bucket that allows `perSecond` tokens on average and `burst` at once; starts full. */
 export class TokenBucket {
   private readonly clock: Clock;
   private perSecond: number;
@@ -17,7 +17,7 @@
     this.refilledAtMs = clock.getNow();
   }
 
-  /** Takes one token; returns false where none is left. */
+  /** Takes one token; returns false if none is left. */
   acquire(): boolean {
     this.addAccruedTokens();
     if (this.tokens < 1) return false;
@@ -26,19 +26,19 @@
     return true;
   }
 
-  /** Returns how many tokens were taken in its life. */
+  /** Returns the number of tokens taken since its creation. */
   getTakenCount(): number {
     return this.takenCount;
   }
 
-  /** Returns milliseconds until a token is there. */
+  /** Returns milliseconds until a token is available; 0 if one is. */
   getWaitMs(): number {
     this.addAccruedTokens();
     if (this.tokens >= 1) return 0;
     return ((1 - this.tokens) / this.perSecond) * 1000;
   }
 
-  /** Sets a new rate; tokens over the new burst are lost. */
+  /** Sets a new rate; tokens beyond the new burst are dropped. */
   setRate(perSecond: number, burst: number): void {
     this.addAccruedTokens();
     this.perSecond = perSecond;
