--- a/packages/decisions/src/decision-log.ts
+++ b/packages/decisions/src/decision-log.ts
@@ -1,27 +1,27 @@
 import type {Decision} from '@hollowstack/types';
 
-/** Everything decided about one request, in order. */
+/** All decisions about one request, in order. */
 export interface RequestDecisions {
   readonly requestId: string;
   readonly workspace: string;
-  /** Pipeline or service. */
+  /** Name of the pipeline or service. */
   readonly target: string;
   /** Milliseconds since the epoch. */
   readonly arrivedAtMs: number;
   readonly decisions: Decision[];
 }
 
-/** Keeps the decisions about the newest requests in bounded memory. */
+/** Stores the decisions about the newest requests and evicts the oldest over its capacity. */
 export class DecisionLog {
   private readonly capacity: number;
   private readonly requests = new Map<string, RequestDecisions>();
 
-  /** @param capacity Most requests to remember. */
+  /** @param capacity Most requests to store. */
   constructor(capacity = 2000) {
     this.capacity = capacity;
   }
 
-  /** Begins the record of a request. */
+  /** Creates the record of a request; the caller appends its decisions. */
   startRequest(
     requestId: string,
     workspace: string,
@@ -43,7 +43,7 @@
     return record;
   }
 
-  /** Returns the record of a request, or undefined where it is not remembered. */
+  /** Returns the record of a request; undefined if it is unknown or evicted. */
   getRequest(requestId: string): RequestDecisions | undefined {
     return this.requests.get(requestId);
   }
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,3 +1,3 @@
-/** The record of each decision about a request, which the why command reads. */
+/** Records the decisions about each request, which the why command prints. */
 export {DecisionLog, type RequestDecisions} from './decision-log.ts';
 export {renderDecisions} from './render-decisions.ts';
--- a/packages/decisions/src/render-decisions.ts
+++ b/packages/decisions/src/render-decisions.ts
@@ -1,6 +1,6 @@
 import type {RequestDecisions} from './decision-log.ts';
 
-/** Renders a request's decisions for a person, one line a decision. */
+/** Renders a request's decisions as readable text: a line each, with its inputs and setting indented below. */
 export function renderDecisions(record: RequestDecisions): string {
   const {requestId, workspace, target, arrivedAtMs, decisions} = record;
   const arrived = new Date(arrivedAtMs).toISOString();
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,4 +1,4 @@
-/** Decides which engine holds which model, and sends fenced orders from a lease holder. */
+/** Decides which engine loads which model; the holder of a lease sends the fenced orders. */
 export {
   assemblePlacementPlan,
   type EngineState,
--- a/packages/placement/src/placement-controller.ts
+++ b/packages/placement/src/placement-controller.ts
@@ -13,10 +13,10 @@
   type PlannedOrder,
 } from './placement-plan.ts';
 
-/** One engine that orders may be sent to. */
+/** One engine that may be sent orders. */
 export interface ManagedEngine extends EngineState {
   readonly address: string;
-  /** Whether it refuses orders with an older fence. */
+  /** Whether it refuses orders with a lower fence than the last one it accepted. */
   readonly checksFence: boolean;
 }
 
@@ -25,36 +25,36 @@
   readonly name: string;
   readonly targets: readonly PlacementTarget[];
   readonly modelsPerEngine: number;
-  /** Most loads at a time over the pool, for the weight store's sake. */
+  /** Most concurrent model loads in the pool, to limit the load on the weight store. */
   readonly maxLoads: number;
   readonly engines: readonly ManagedEngine[];
 }
 
-/** What the keeper works with. */
+/** Dependencies of `PlacementController`. */
 export interface PlacementControllerParts {
   readonly lease: PlacementLease;
   readonly client: HttpClient;
   readonly clock: Clock;
   readonly random: () => number;
   readonly logger: EventLogger;
-  /** Returns the pools as they are now, and the revision they are configured by. */
+  /** Returns the current pools and the revision of their configuration. */
   readonly readPools: () => {
     readonly revision: number;
     readonly pools: readonly ManagedPool[];
   };
 }
 
-/** Milliseconds between two plans; loads of models take longer. */
+/** Interval between two plans; a model takes longer to load. */
 const ROUND_INTERVAL_MS = 3000;
-/** Milliseconds for an order to be answered; the lease must outlast it. */
+/** Timeout of an order; an order is sent only if the lease is valid for longer. */
 const ORDER_TIMEOUT_MS = 1500;
-/** HTTP status: the engine has taken the order. */
+/** HTTP status with which an engine confirms an order. */
 const ORDER_APPLIED_STATUS = 200;
 
 /**
- * Sends orders while this instance holds the lease. An order goes out only if
- * all of it fits into the lease; to engines that do not check fences only
- * after a renewal that was confirmed since the plan was read.
+ * Sends orders while this instance holds the lease. An order is sent only if its
+ * timeout ends before the lease does. Engines that do not check fences get an
+ * order only if a renewal was confirmed after the pools were read.
  */
 export class PlacementController {
   private readonly parts: PlacementControllerParts;
@@ -69,7 +69,7 @@
     });
   }
 
-  /** Tries for the lease and sends orders until stopped. */
+  /** Starts the rounds that acquire or renew the lease and send orders. */
   start(): Promise<void> {
     return this.task.start();
   }
@@ -80,7 +80,7 @@
   }
 
   private async runRound(): Promise<void> {
-    // Without a pool to place, the lease is left alone: no call is spent on it.
+    // Without a pool to place, no store call is spent on the lease.
     if (this.parts.readPools().pools.length === 0) return;
     const held = await this.parts.lease.renew();
     this.logHolder(held);
@@ -132,7 +132,7 @@
     const deadline = createDeadlineSignal(
       clock,
       ORDER_TIMEOUT_MS,
-      () => new Error('no answer'),
+      () => new Error('engine did not answer the order in time'),
     );
     const fields = {engine: engine.id, models: order.models.join(' ')};
     try {
--- a/packages/placement/src/placement-lease.ts
+++ b/packages/placement/src/placement-lease.ts
@@ -1,28 +1,28 @@
 import type {Clock} from '@hollowstack/clock';
 import {createSingleKeyRange, type KeyValueStore} from '@hollowstack/store';
 
-/** Key of the one instance that sends orders. */
+/** Store key that names the instance that sends orders. */
 export const PLACEMENT_HOLDER_KEY = 'hollowstack/placement/holder';
 
-/** A lease as its holder may rely on it. */
+/** A held lease, with the validity that its holder may rely on. */
 export interface HeldLease {
-  /** Rises with each holder; engines that check refuse a lower one. */
+  /** Fencing token; increases with each holder. Engines that check it refuse a lower one. */
   readonly fence: number;
-  /** Milliseconds since the epoch; no order may still be under way then. */
+  /** Milliseconds since the epoch; no order may be in flight after it. */
   readonly validUntilMs: number;
-  /** When the last confirmed renewal was sent. */
+  /** When the last confirmed renewal, or the acquisition, was sent. */
   readonly renewedAtMs: number;
 }
 
-/** Milliseconds of the placement lease: the longest time without a holder. */
+/** Duration of the lease, which bounds the time without a holder. */
 const LEASE_MS = 10_000;
-/** What clocks of the service and the holder may run apart in one lease. */
+/** Largest expected drift between the clocks of the store and the holder during one lease. */
 const CLOCK_SKEW_MARGIN_MS = 1000;
 
 /**
- * The lease under which one instance sends orders. Its time is counted from
- * before the renewal was sent: the service counts from when it got it, which
- * is later, so the holder always stops first.
+ * The lease under which one instance sends orders. The holder counts its
+ * duration from the time before the renewal is sent. The store counts from the
+ * receipt, which is later, so the holder always stops before the lease expires.
  */
 export class PlacementLease {
   private readonly store: KeyValueStore;
@@ -37,13 +37,18 @@
     this.instance = instance;
   }
 
-  /** Returns the lease if it is still valid. */
+  /** Returns the lease; undefined if it is not held or no longer valid. */
   getValidLease(): HeldLease | undefined {
     const isValid = this.held && this.clock.getNow() < this.held.validUntilMs;
     return isValid ? this.held : undefined;
   }
 
-  /** Renews the lease, or acquires it where no instance has it. @throws StoreError. */
+  /**
+   * Renews the lease, or acquires it if no instance holds it.
+   *
+   * @returns undefined if another instance holds it or the renewal took too long.
+   * @throws StoreError if a store call fails.
+   */
   async renew(): Promise<HeldLease | undefined> {
     if (this.held && this.leaseId !== undefined) {
       const sentAtMs = this.clock.getNow();
@@ -58,7 +63,7 @@
     return this.acquire();
   }
 
-  /** Gives the lease back, so that another instance need not wait for its end. */
+  /** Revokes the lease, so that another instance need not wait until it expires; store errors are ignored. */
   async release(): Promise<void> {
     const {leaseId} = this;
     this.held = undefined;
@@ -90,7 +95,7 @@
       return undefined;
     }
     this.leaseId = lease.id;
-    // The store's revision rises with every write, so each holder's is higher.
+    // The store's revision increases with every write, so each holder gets a higher fence.
     this.held = createHeldLease(result.storeRevision, sentAtMs);
     return this.getValidLease();
   }
--- a/packages/placement/src/placement-plan.test.ts
+++ b/packages/placement/src/placement-plan.test.ts
@@ -21,7 +21,7 @@
   {model: 'review', copies: 1},
 ];
 
-test('missing copies go to free engines over the failure domains, holders stay', t => {
+test('missing copies go to free engines spread over failure domains, and loaded copies stay', t => {
   const engines = [
     createEngine(1, ['chat']),
     createEngine(2, []),
@@ -31,12 +31,12 @@
   t.assert.snapshot(assemblePlacementPlan(TARGETS, engines, 1, 10));
 });
 
-test('loads beyond the weight store are put off and take nothing away', t => {
+test('loads beyond the maximum are postponed and unload no model', t => {
   const engines = [1, 2, 3, 4].map(number => createEngine(number, ['old']));
   t.assert.snapshot(assemblePlacementPlan(TARGETS, engines, 1, 1));
 });
 
-test('an engine that cannot be used gets no order and its copies move', t => {
+test('an unusable engine gets no order, and its copies move to other engines', t => {
   const engines = [
     createEngine(1, ['chat'], false),
     createEngine(2, ['chat']),
@@ -47,14 +47,14 @@
   t.assert.snapshot(assemblePlacementPlan(TARGETS, engines, 1, 10));
 });
 
-test('carrying plans out comes to rest at the targets, whatever engines held before', () => {
+test('executing plans repeatedly converges to the targets from any initial state', () => {
   const models = fc.subarray(['chat', 'review', 'old']);
   fc.assert(
     fc.property(
       fc.array(models, {minLength: 4, maxLength: 9}),
       fc.integer({min: 1, max: 3}),
-      (held, maxLoads) => {
-        let engines = held.map((own, index) =>
+      (initialModels, maxLoads) => {
+        let engines = initialModels.map((own, index) =>
           createEngine(index, own.slice(0, 1)),
         );
         for (let round = 0; round < 20; round++) {
@@ -68,10 +68,10 @@
           if (orders.length === 0) break;
         }
         for (const {model, copies} of TARGETS) {
-          const holders = engines.filter(engine =>
+          const loadedEngines = engines.filter(engine =>
             engine.models.includes(model),
           );
-          assert.equal(holders.length, copies);
+          assert.equal(loadedEngines.length, copies);
         }
       },
     ),
--- a/packages/placement/src/placement-plan.ts
+++ b/packages/placement/src/placement-plan.ts
@@ -1,42 +1,43 @@
 import {listByRendezvous} from '@hollowstack/routing';
 
-/** How many engines of a pool shall hold a model. */
+/** Number of engines in a pool that should have a model loaded. */
 export interface PlacementTarget {
   readonly model: string;
   readonly copies: number;
 }
 
-/** One engine as the plan sees it. */
+/** State of one engine at the time of the plan. */
 export interface EngineState {
   readonly id: string;
   readonly failureDomain: string;
-  /** Whether it may be given work; orders to others would be lost. */
+  /** Whether it accepts work; an order to an unusable engine would be lost. */
   readonly isUsable: boolean;
-  /** Models that it reports to hold. */
+  /** Models that it reports as loaded. */
   readonly models: readonly string[];
 }
 
-/** What one engine shall hold from now on; the order says all of it, not the change. */
+/** The complete set of models that one engine should have loaded, not a change to it. */
 export interface PlannedOrder {
   readonly engine: string;
   readonly models: readonly string[];
-  /** Models that it has to load first. */
+  /** Those of `models` that it has yet to load. */
   readonly loads: readonly string[];
 }
 
-/** Orders as data; nothing has been sent yet. */
+/** Orders to send; assembling a plan sends nothing. */
 export interface PlacementPlan {
   readonly orders: readonly PlannedOrder[];
-  /** Loads that the weight store's rate puts off. */
+  /** Number of loads postponed because of `maxLoads`. */
   readonly postponedLoads: number;
 }
 
 /**
- * Assembles the orders that bring a pool to its targets: holders stay, missing
- * copies go to the engines with the least, spread over failure domains, and
- * copies beyond the target go once enough usable engines hold the model.
+ * Assembles the orders that bring a pool to its targets. Engines that have a
+ * model loaded keep it. Missing copies go to the engines with the fewest models,
+ * spread over failure domains. Copies beyond the target are unloaded once enough
+ * usable engines have the model.
  *
- * @param modelsPerEngine Most models that one engine can hold.
+ * @param modelsPerEngine Most models that one engine can have loaded.
  * @param maxLoads Most loads to start now.
  */
 export function assemblePlacementPlan(
@@ -48,7 +49,7 @@
   const usable = engines.filter(({isUsable}) => isUsable);
   const wanted = new Map(usable.map(({id}) => [id, new Set<string>()]));
   for (const target of targets) {
-    addHolders(target, usable, wanted, modelsPerEngine);
+    addLoadedCopies(target, usable, wanted, modelsPerEngine);
   }
   for (const target of targets) {
     addCopies(target, usable, wanted, modelsPerEngine);
@@ -56,17 +57,17 @@
   return createOrders(usable, wanted, maxLoads);
 }
 
-function addHolders(
+function addLoadedCopies(
   {model, copies}: PlacementTarget,
   usable: readonly EngineState[],
   wanted: ReadonlyMap<string, Set<string>>,
   modelsPerEngine: number,
 ): void {
-  const holders = usable
+  const loadedEngines = usable
     .filter(({models}) => models.includes(model))
     .map(({id}) => id);
-  // Ranked by the model's name, so that each holder of the lease keeps the same.
-  for (const id of listByRendezvous(model, holders).slice(0, copies)) {
+  // Ranked by the model's name, so that every lease holder chooses the same engines.
+  for (const id of listByRendezvous(model, loadedEngines).slice(0, copies)) {
     const models = wanted.get(id)!;
     if (models.size < modelsPerEngine) models.add(model);
   }
@@ -128,7 +129,7 @@
     const loads = missing.slice(0, Math.max(0, loadsLeft));
     loadsLeft -= loads.length;
     postponedLoads += missing.length - loads.length;
-    // A load that is put off must not take an old model away yet.
+    // While a load is postponed, the engine keeps its current models.
     const isPostponed = loads.length < missing.length;
     const next = isPostponed
       ? [...new Set([...models, ...loads])].sort()
--- a/packages/routes/src/index.ts
+++ b/packages/routes/src/index.ts
@@ -1,4 +1,4 @@
-/** The configuration of routed services and the questions a request asks of it. */
+/** Configuration of routed services, and how a request finds its route, workspace and service in it. */
 export {
   callerLimitsSchema,
   keyedWorkspaceSchema,
--- a/packages/routes/src/request-priority.ts
+++ b/packages/routes/src/request-priority.ts
@@ -1,15 +1,14 @@
 import type {KeyedWorkspace, Route} from './routed-configuration.ts';
 
-/** Rank of a workspace that the configuration gives none; the usual one. */
+/** Priority of a workspace whose configuration sets none. */
 const DEFAULT_WORKSPACE_PRIORITY = 1;
-/** More ranks than routes have, so that no route's rank outweighs a workspace's. */
+/** Larger than any route priority, so that no route's priority outweighs a workspace's. */
 const RANKS_PER_WORKSPACE_PRIORITY = 100;
 
 /**
- * Computes the priority of a request among all others: by its workspace first,
- * by its route within that.
+ * Computes the priority of a request: by its workspace first, then by its route.
  *
- * @returns A rank; 0 is the most urgent.
+ * @returns A number; 0 is the most urgent.
  */
 export function computeRequestPriority(
   route: Route,
--- a/packages/routes/src/route-table.test.ts
+++ b/packages/routes/src/route-table.test.ts
@@ -46,7 +46,7 @@
   };
 }
 
-test('the longest prefix that begins the path wins, on its host alone', () => {
+test('the longest matching path prefix of the same host wins', () => {
   const table = new RouteTable(
     createConfiguration([
       createRoute({name: 'short', pathPrefix: '/a/'}),
@@ -61,7 +61,7 @@
   assert.equal(table.findRoute('c.example', '/a/'), undefined);
 });
 
-test('a key that was taken away is in no workspace', () => {
+test('a revoked key belongs to no workspace', () => {
   const before = new RouteTable(
     createConfiguration([], [{name: 'w', keys: ['k1', 'k2']}]),
   );
@@ -74,7 +74,7 @@
   assert.equal(new RouteTable(createConfiguration([])).hasWorkspaces(), false);
 });
 
-test('targets are drawn by their weights, and none of weight 0', () => {
+test('targets are chosen by weight, and never a target of weight 0', () => {
   const route = createRoute({
     targets: [
       {service: 'none', weight: 0},
@@ -88,7 +88,7 @@
   assert.equal(chooseTarget(route, 0.9999), 'many');
 });
 
-test('a stream may only run again where it can be resumed', () => {
+test('a stream is repeatable only if it is resumable', () => {
   assert.equal(isRepeatable(createRoute({repeatability: 'once'})), false);
   assert.equal(isRepeatable(createRoute({repeatability: 'stream'})), false);
   assert.equal(
@@ -97,7 +97,7 @@
   );
 });
 
-test('a request ranks by its workspace first, then by its route', () => {
+test('request priority orders by workspace first, then by route', () => {
   const urgent = createRoute({priority: 0});
   const lessUrgent = createRoute({priority: 2});
   const first = {name: 'first', keys: [], priority: 0};
@@ -115,7 +115,7 @@
   assert.equal(new Set(ranked).size, 4);
 });
 
-test('a workspace without a rank stands with those that have the usual one', () => {
+test('a workspace without a priority gets the default one', () => {
   const route = createRoute({priority: 1});
   const usual = {name: 'usual', keys: [], priority: 1};
   assert.equal(
--- a/packages/routes/src/route-table.ts
+++ b/packages/routes/src/route-table.ts
@@ -5,7 +5,7 @@
   RoutedService,
 } from './routed-configuration.ts';
 
-/** A routed configuration, indexed for the questions that each request asks. */
+/** A routed configuration, indexed for the look-ups of each request. */
 export class RouteTable {
   readonly configuration: RoutedConfiguration;
   private readonly routesByHost = new Map<string, Route[]>();
@@ -32,18 +32,18 @@
     return this.configuration.revision;
   }
 
-  /** Finds the route of a host with the longest prefix that begins the path. */
+  /** Finds the route of a host with the longest prefix of the path; host names are case-insensitive. */
   findRoute(host: string, path: string): Route | undefined {
     const routes = this.routesByHost.get(host.toLowerCase());
     return routes?.find(route => path.startsWith(route.pathPrefix));
   }
 
-  /** Finds the workspace that holds a key. */
+  /** Finds the workspace that a key belongs to. */
   findWorkspace(key: string): KeyedWorkspace | undefined {
     return this.workspacesByKey.get(key);
   }
 
-  /** Returns whether callers of this configuration present keys. */
+  /** Returns whether callers must present a key. */
   hasWorkspaces(): boolean {
     return this.configuration.workspaces !== undefined;
   }
@@ -61,9 +61,9 @@
 }
 
 /**
- * Chooses the service of a request by the weights of its route.
+ * Chooses the service of a request by the weights of its route's targets.
  *
- * @param draw From 0 to below 1.
+ * @param draw Random number from 0 to below 1.
  */
 export function chooseTarget(route: Route, draw: number): string {
   const total = route.targets.reduce((sum, {weight}) => sum + weight, 0);
--- a/packages/routes/src/routed-configuration.ts
+++ b/packages/routes/src/routed-configuration.ts
@@ -2,31 +2,31 @@
 
 /**
  * How often a request may run: `repeatable` any number of times, `once` at most
- * once a client attempt, `stream` like `once` unless the route is resumable.
+ * once per client attempt, `stream` like `once` unless the route is resumable.
  */
 export const REPEATABILITIES = ['repeatable', 'once', 'stream'] as const;
 
-/** One service that a share of a route's requests goes to. */
+/** One service that gets a share of a route's requests. */
 export const routeTargetSchema = z.object({
   service: z.string(),
-  /** Share among the targets of the route; any scale. */
+  /** Relative weight among the targets of the route, on any scale. */
   weight: z.number().nonnegative(),
 });
-/** One service that a share of a route's requests goes to. */
+/** One service that gets a share of a route's requests. */
 export type RouteTarget = z.infer<typeof routeTargetSchema>;
 
-/** Work in pieces that a request needs done before it can run. */
+/** A preparatory stage of a request: its items are processed in batches before the request can run. */
 export const routeStageSchema = z.object({
   service: z.string(),
-  /** Indexes of the stages whose results this one reads. */
+  /** Indexes of the stages whose results this stage reads. */
   after: z.array(z.number().int().nonnegative()),
-  /** Approximate size of the result of one piece, in bytes. */
+  /** Approximate size of the result of one item, in bytes. */
   resultBytes: z.number().nonnegative(),
 });
-/** Work in pieces that a request needs done before it can run. */
+/** A preparatory stage of a request: its items are processed in batches before the request can run. */
 export type RouteStage = z.infer<typeof routeStageSchema>;
 
-/** A route: which requests it takes, where they go and under which bounds. */
+/** A route: which requests it matches, which services they go to, and their limits. */
 export const routeSchema = z.object({
   name: z.string(),
   host: z.string(),
@@ -41,119 +41,118 @@
   maxAttempts: z.number().int().positive(),
   stages: z.array(routeStageSchema),
   isPublic: z.boolean(),
-  /** Whether requests name the parts of their prompt. */
+  /** Whether requests list the ids of their prompt parts, for routing by cached prefix. */
   hasAffinity: z.boolean(),
   isResumable: z.boolean(),
-  /** Longest pause between two events with which a stream is in time. */
+  /** Longest pause between two events of a stream that still meets the objective. */
   pauseLimitMs: z.number().positive().optional(),
 });
-/** A route: which requests it takes, where they go and under which bounds. */
+/** A route: which requests it matches, which services they go to, and their limits. */
 export type Route = z.infer<typeof routeSchema>;
 
-/** How an upstream of a stage service works on pieces. */
+/** Capacity and timing of one upstream of a stage service. */
 export const stageCapacitySchema = z.object({
-  /** Calls that one upstream works on at a time. */
+  /** Calls that one upstream processes concurrently. */
   concurrency: z.number().int().positive(),
-  /** Calls that may wait at one upstream. */
+  /** Calls that may be queued at one upstream. */
   backlog: z.number().int().nonnegative(),
-  /** Most pieces in a call. */
+  /** Most items in a call. */
   batchSize: z.number().int().positive(),
-  /** Milliseconds a call takes beside its pieces. */
+  /** Fixed overhead of a call in milliseconds, without its items. */
   callMs: z.number().nonnegative(),
-  /** Milliseconds a piece takes, approximately. */
+  /** Approximate milliseconds per item. */
   pieceMs: z.number().nonnegative(),
-  /** Bytes of results that one upstream can keep. */
+  /** Bytes of results that one upstream can store. */
   resultBytes: z.number().nonnegative(),
-  /** Milliseconds for which a result is kept after its call. */
+  /** Milliseconds for which a result is stored after its call. */
   resultTtlMs: z.number().positive(),
 });
-/** How an upstream of a stage service works on pieces. */
+/** Capacity and timing of one upstream of a stage service. */
 export type StageCapacity = z.infer<typeof stageCapacitySchema>;
 
-/** What an upstream bears while it is cold. */
+/** Warm-up of an upstream: its reduced rate while it is cold, and for how long. */
 export const warmUpSchema = z.object({
-  /** Milliseconds that warming up takes. */
+  /** Duration of the warm-up in milliseconds. */
   durationMs: z.number().nonnegative(),
-  /** Requests that a cold upstream bears in a second, from all instances. */
+  /** Requests per second that a cold upstream can serve, summed over all instances. */
   requestsPerSecond: z.number().positive(),
 });
-/** What an upstream bears while it is cold. */
+/** Warm-up of an upstream: its reduced rate while it is cold, and for how long. */
 export type WarmUp = z.infer<typeof warmUpSchema>;
 
-/** A service with like upstreams. */
+/** A service whose upstreams are interchangeable. */
 export const routedServiceSchema = z.object({
   name: z.string(),
   healthPath: z.string(),
-  /** Connections that one upstream takes from all callers together. */
+  /** Most connections that one upstream accepts, summed over all callers. */
   maxConnections: z.number().int().positive(),
   stage: stageCapacitySchema.optional(),
-  /** Present where an upstream that has just started bears less than usual. */
+  /** Present if a freshly started upstream can serve less than a warm one. */
   warmUp: warmUpSchema.optional(),
-  /** Present where the upstreams are model engines. */
+  /** Present if the upstreams are model engines. */
   engine: z
     .object({
-      /** Tokens of prompts that one engine can keep. */
+      /** Capacity of one engine's prompt cache in tokens. */
       cacheTokens: z.number().positive(),
     })
     .optional(),
 });
-/** A service with like upstreams. */
+/** A service whose upstreams are interchangeable. */
 export type RoutedService = z.infer<typeof routedServiceSchema>;
 
-/** A workspace and the keys its callers present. */
+/** A workspace and the keys of its callers. */
 export const keyedWorkspaceSchema = z.object({
   name: z.string(),
   keys: z.array(z.string()),
-  /** Goes before the route's priority. */
+  /** Takes precedence over the route's priority; 0 is the most urgent. */
   priority: z.number().optional(),
 });
-/** A workspace and the keys its callers present. */
+/** A workspace and the keys of its callers. */
 export type KeyedWorkspace = z.infer<typeof keyedWorkspaceSchema>;
 
-/** Bounds on what a caller may send. */
+/** Size and time limits on what a caller may send. */
 export const callerLimitsSchema = z.object({
   headerBytes: z.number().int().positive(),
   bodyBytes: z.number().int().positive(),
   headerTimeoutMs: z.number().positive(),
   idleTimeoutMs: z.number().positive(),
 });
-/** Bounds on what a caller may send. */
+/** Size and time limits on what a caller may send. */
 export type CallerLimits = z.infer<typeof callerLimitsSchema>;
 
-/** Everything that decides about routed requests, at one revision. */
+/** The complete configuration of routed requests at one revision. */
 export const routedConfigurationSchema = z.object({
   revision: z.number(),
   routes: z.array(routeSchema),
   services: z.array(routedServiceSchema),
-  /** Absent where callers need no key. */
+  /** Absent if callers need no key. */
   workspaces: z.array(keyedWorkspaceSchema).optional(),
   limits: callerLimitsSchema,
 });
-/** Everything that decides about routed requests, at one revision. */
+/** The complete configuration of routed requests at one revision. */
 export type RoutedConfiguration = z.infer<typeof routedConfigurationSchema>;
 
 /** An upstream as it registers itself in the store. */
 export const registeredUpstreamSchema = z.object({
-  /** Names this life of the upstream; a restart brings a new one. */
+  /** Identifies this incarnation of the upstream; a restart gets a new id. */
   id: z.string(),
-  /** When this life began, in Unix milliseconds; absent where it tells none. */
+  /** Start of this incarnation in Unix milliseconds; absent if not reported. */
   startedAtMs: z.number().optional(),
   service: z.string(),
   address: z.string(),
-  /** Failure domain. */
   failureDomain: z.string(),
-  /** Requests that it works on at a time. */
+  /** Requests that it processes concurrently. */
   capacity: z.number().positive(),
   isLeaving: z.boolean(),
-  /** Milliseconds for which it was still cold when it wrote its registration. */
+  /** Remaining cold time in milliseconds at the time it wrote its registration. */
   coldMs: z.number().nonnegative().optional(),
-  /** Rises with each write of its registration in one life; absent if not reported. */
+  /** Increases with each write of the registration in one incarnation; absent if not reported. */
   writeCount: z.number().nonnegative().optional(),
   /** Whether operators have evacuated its failure domain. */
   isEvacuated: z.boolean().optional(),
-  /** Until when it is cold by its registration; milliseconds of the steady clock. */
+  /** Time until which it is cold according to its registration, in milliseconds of the steady clock. */
   coldUntilMs: z.number().optional(),
-  /** When the last evacuation of its failure domain ended; of the steady clock. */
+  /** When the last evacuation of its failure domain ended, in milliseconds of the steady clock. */
   returnedAtMs: z.number().optional(),
 });
 /** An upstream as it registers itself in the store. */
--- a/packages/routes/src/upstream-state.test.ts
+++ b/packages/routes/src/upstream-state.test.ts
@@ -21,7 +21,7 @@
   return 0;
 }
 
-test('a service with one upstream that takes work lacks nothing', () => {
+test('a service with one available upstream is available', () => {
   const upstreams = [
     createUpstream('a', {isLeaving: true}),
     createUpstream('b'),
@@ -31,7 +31,7 @@
   assert.equal(findUnavailability('chat', upstreams, getWaitMs), undefined);
 });
 
-test('upstreams that all want no work are short until the first takes some again', () => {
+test('a service is unavailable until the first back-off of its upstreams ends', () => {
   const upstreams = [
     createUpstream('a'),
     createUpstream('b'),
@@ -46,7 +46,7 @@
   });
 });
 
-test('the end of a shortage is not known where upstreams leave, are evacuated or missing', () => {
+test('the wait is unknown if all upstreams are leaving, evacuated or missing', () => {
   const leaving = createUpstream('a', {isLeaving: true});
   const evacuated = createUpstream('b', {isEvacuated: true});
   const getReason = (upstreams: RegisteredUpstream[]) => {
--- a/packages/routes/src/upstream-state.ts
+++ b/packages/routes/src/upstream-state.ts
@@ -1,6 +1,6 @@
 import type {RegisteredUpstream, WarmUp} from './routed-configuration.ts';
 
-/** Returns whether new work may go to an upstream, as far as registrations say. */
+/** Returns whether an upstream accepts new work, according to its registration and evacuations. */
 export function isAcceptingWork({
   isLeaving,
   isEvacuated = false,
@@ -9,10 +9,10 @@
 }
 
 /**
- * Returns until when an upstream is cold, in milliseconds of the steady clock; 0
- * for one that is warm or whose service needs no warm-up. After an evacuation it
- * counts as cold for a whole warm-up: the end of the evacuation may be known
- * before the registration which says that the upstream went cold.
+ * Returns the time until which an upstream is cold, in milliseconds of the steady
+ * clock; 0 if it did not register as cold or its service has no warm-up. After an
+ * evacuation, an upstream counts as cold for a full warm-up, because the end of
+ * the evacuation may become known before the registration that reports it cold.
  */
 export function getColdUntilMs(
   {coldUntilMs = 0, returnedAtMs}: RegisteredUpstream,
@@ -23,29 +23,27 @@
   return Math.max(coldUntilMs, returnedAtMs + warmUp.durationMs);
 }
 
-/**
- * Milliseconds after which to come back where no upstream of a service takes work:
- * about the time of a restart.
- */
+/** Retry delay if no upstream of a service accepts work; about the duration of a restart. */
 const NO_UPSTREAM_RETRY_AFTER_MS = 1000;
 
-/** Why no upstream of a service takes work now. */
+/** Why no upstream of a service accepts work now. */
 export interface Unavailability {
   readonly reason: string;
   /**
-   * Milliseconds until the first of them takes work again, where all asked for a time
-   * without; undefined where no end is known.
+   * Milliseconds until the first back-off ends, if all upstreams that accept work
+   * asked for one; undefined if no end is known.
    */
   readonly waitMs: number | undefined;
-  /** Milliseconds after which a caller may come back. */
+  /** Milliseconds after which a caller may retry. */
   readonly retryAfterMs: number;
 }
 
 /**
- * Returns why none of the upstreams of a service takes work; undefined where one does.
+ * Returns why no upstream of a service accepts work; undefined if one does.
  *
- * @param getWaitMs Returns milliseconds for which an upstream still wants no work, 0
- * where it asked for none.
+ * @param upstreams All registered upstreams of the service.
+ * @param getWaitMs Returns the remaining back-off of an upstream in milliseconds; 0
+ * if it asked for none.
  */
 export function findUnavailability(
   service: string,
