--- a/packages/assignment/src/engine-choice.ts
+++ b/packages/assignment/src/engine-choice.ts
@@ -144,8 +144,8 @@
   );
 }
 
-// A request with time to spare waits for the engine that has its prompt cached; a
-// request without goes to the engine that starts it first.
+// A request with time to spare waits for the engine that has its prompt cached; an
+// urgent or late request goes to the engine that starts it first.
 function computeTimeCostMs(
   predictedMs: number,
   dueInMs: number | undefined,
--- a/packages/assignment/src/engine-directory.ts
+++ b/packages/assignment/src/engine-directory.ts
@@ -73,7 +73,7 @@
 /** The coordinator's state of all engines: assigned requests, modelled caches, health and speed. */
 export class EngineDirectory {
   private readonly getNow: () => number;
-  private readonly isLimited: (id: string) => boolean;
+  private readonly isRateLimited: (id: string) => boolean;
   private readonly engines = new Map<string, Engine>();
   private readonly assignments = new Map<string, AssignedRequest>();
   private readonly prefillSpeed = new PrefillSpeed();
@@ -82,13 +82,13 @@
   private cacheTokensByService = new Map<string, number>();
   private warmUpByService = new Map<string, WarmUp>();
 
-  /** @param isLimited Returns whether an engine advertises a rate limit. */
+  /** @param isRateLimited Returns whether an engine advertises a rate limit. */
   constructor(
     getNow: () => number,
-    isLimited: (id: string) => boolean = () => false,
+    isRateLimited: (id: string) => boolean = () => false,
   ) {
     this.getNow = getNow;
-    this.isLimited = isLimited;
+    this.isRateLimited = isRateLimited;
   }
 
   /** Applies the cache sizes and warm-ups of a newer configuration; engines already listed keep their cache size. */
@@ -288,7 +288,9 @@
         !excluded.has(record.id) &&
         isCandidate(health, nowMs),
     );
-    const unlimited = usable.filter(({record}) => !this.isLimited(record.id));
+    const unlimited = usable.filter(
+      ({record}) => !this.isRateLimited(record.id),
+    );
     const available = (unlimited.length > 0 ? unlimited : usable).filter(
       engine => !this.isCold(engine) || engine.coldPacer.isDue(nowMs),
     );
--- a/packages/routing/src/health.test.ts
+++ b/packages/routing/src/health.test.ts
@@ -39,14 +39,14 @@
 });
 
 test('an answered report does not end an ejection, but one successful trial does', () => {
-  const out = createEjectedState();
+  const ejected = createEjectedState();
   assert.equal(
-    recordLiveReport(out, POLICY, AT_MS + 1, AT_MS + 1).state,
+    recordLiveReport(ejected, POLICY, AT_MS + 1, AT_MS + 1).state,
     'out',
   );
   const trialAtMs = AT_MS + POLICY.trialDelayMs;
-  assert.equal(isCandidate(out, trialAtMs), true);
-  const trial = recordTrial(out);
+  assert.equal(isCandidate(ejected, trialAtMs), true);
+  const trial = recordTrial(ejected);
   assert.equal(isCandidate(trial, trialAtMs), false);
   assert.equal(recordSuccess(trial, trialAtMs).state, 'healthy');
 });
@@ -64,16 +64,26 @@
 test('a leaving upstream becomes a candidate only by a report newer than its leaving report', () => {
   const leaving = recordLeaving(createHealthyState(), AT_MS);
   assert.equal(isCandidate(leaving, AT_MS + 60_000), false);
-  const lagging = recordLiveReport(leaving, POLICY, AT_MS - 2000, AT_MS + 100);
-  assert.equal(lagging.state, 'leaving');
-  const fresh = recordLiveReport(leaving, POLICY, AT_MS + 2000, AT_MS + 2000);
-  assert.equal(isCandidate(fresh, AT_MS + 2000), true);
+  const afterOlderReport = recordLiveReport(
+    leaving,
+    POLICY,
+    AT_MS - 2000,
+    AT_MS + 100,
+  );
+  assert.equal(afterOlderReport.state, 'leaving');
+  const afterNewerReport = recordLiveReport(
+    leaving,
+    POLICY,
+    AT_MS + 2000,
+    AT_MS + 2000,
+  );
+  assert.equal(isCandidate(afterNewerReport, AT_MS + 2000), true);
 });
 
 test('a recovered upstream ramps up to its full share', () => {
-  const back = recordSuccess(recordTrial(createEjectedState()), AT_MS);
+  const recovered = recordSuccess(recordTrial(createEjectedState()), AT_MS);
   const factors = [0, 0.5, 1, 2].map(part =>
-    getSlowStartFactor(back, POLICY, AT_MS + part * POLICY.slowStartMs),
+    getSlowStartFactor(recovered, POLICY, AT_MS + part * POLICY.slowStartMs),
   );
   assert.deepEqual(factors, [0.2, 0.6000000000000001, 1, 1]);
 });
--- a/packages/routing/src/health.ts
+++ b/packages/routing/src/health.ts
@@ -1,5 +1,6 @@
 /** Health of one upstream; an immutable value that each transition replaces. */
 export interface HealthState {
+  /** `out`: ejected; `trial`: ejected, with a trial in flight; `leaving`: gets no new work. */
   readonly state: 'healthy' | 'out' | 'trial' | 'leaving';
   /** Consecutive failures of requests; only a successful request resets the count. */
   readonly consecutiveFailures: number;
