--- a/packages/assignment/src/prompt-cache-model.ts
+++ b/packages/assignment/src/prompt-cache-model.ts
@@ -1,44 +1,44 @@
 import type {PromptPart} from '@hollowstack/types';
 
 /**
- * A model of the prompt parts that an engine keeps: a part is of use only where
- * all parts before it are kept, and those unused longest give way.
+ * Models the prefix cache of an engine: a prompt part is usable only if all
+ * parts before it are cached, and the least recently used parts are evicted.
  */
 export class PromptCacheModel {
   private readonly capacityTokens: number;
-  /** Tokens by part id, the one unused longest first. */
-  private readonly kept = new Map<string, number>();
-  private keptTokens = 0;
+  /** Tokens by part id, the least recently used first. */
+  private readonly tokensByPart = new Map<string, number>();
+  private cachedTokens = 0;
 
   constructor(capacityTokens: number) {
     this.capacityTokens = capacityTokens;
   }
 
-  /** Returns how many tokens of the prompt, from its beginning, are kept. */
+  /** Returns the number of tokens in the longest cached prefix of the prompt. */
   countCachedTokens(parts: readonly PromptPart[]): number {
     let tokens = 0;
     for (const part of parts) {
-      if (!this.kept.has(part.id)) break;
+      if (!this.tokensByPart.has(part.id)) break;
       tokens += part.tokens;
     }
     return tokens;
   }
 
-  /** Notes that the engine has read a prompt. */
+  /** Adds the parts of a prompt that the engine has prefilled, and evicts over capacity. */
   recordPrompt(parts: readonly PromptPart[]): void {
     for (const {id, tokens} of parts) {
-      this.keptTokens += tokens - (this.kept.get(id) ?? 0);
-      this.kept.delete(id);
-      this.kept.set(id, tokens);
+      this.cachedTokens += tokens - (this.tokensByPart.get(id) ?? 0);
+      this.tokensByPart.delete(id);
+      this.tokensByPart.set(id, tokens);
     }
-    this.removeOldest();
+    this.removeLeastRecentlyUsed();
   }
 
-  private removeOldest(): void {
-    for (const [id, tokens] of this.kept) {
-      if (this.keptTokens <= this.capacityTokens) return;
-      this.kept.delete(id);
-      this.keptTokens -= tokens;
+  private removeLeastRecentlyUsed(): void {
+    for (const [id, tokens] of this.tokensByPart) {
+      if (this.cachedTokens <= this.capacityTokens) return;
+      this.tokensByPart.delete(id);
+      this.cachedTokens -= tokens;
     }
   }
 }
--- a/packages/routes/src/upstream-state.test.ts
+++ b/packages/routes/src/upstream-state.test.ts
@@ -21,7 +21,7 @@
   return 0;
 }
 
-test('a service with one upstream that takes work lacks nothing', () => {
+test('a service with one available upstream is available', () => {
   const upstreams = [
     createUpstream('a', {isLeaving: true}),
     createUpstream('b'),
@@ -31,7 +31,7 @@
   assert.equal(findUnavailability('chat', upstreams, getWaitMs), undefined);
 });
 
-test('upstreams that all want no work are short until the first takes some again', () => {
+test('a service is unavailable until the first back-off of its upstreams ends', () => {
   const upstreams = [
     createUpstream('a'),
     createUpstream('b'),
@@ -46,21 +46,17 @@
   });
 });
 
-test('the end of a shortage is not known where upstreams leave, are evacuated or missing', () => {
+test('the wait is unknown if all upstreams are leaving, evacuated or missing', () => {
   const leaving = createUpstream('a', {isLeaving: true});
   const evacuated = createUpstream('b', {isEvacuated: true});
-  const listReasons = (upstreams: RegisteredUpstream[]) => {
-    const shortage = findUnavailability('chat', upstreams, getNoWait);
-    assert.equal(shortage?.waitMs, undefined);
-    assert.ok(shortage!.retryAfterMs > 0);
-    return shortage!.reason;
+  const getReason = (upstreams: RegisteredUpstream[]) => {
+    const unavailability = findUnavailability('chat', upstreams, getNoWait);
+    assert.equal(unavailability?.waitMs, undefined);
+    assert.ok(unavailability!.retryAfterMs > 0);
+    return unavailability!.reason;
   };
   assert.deepEqual(
-    [
-      listReasons([]),
-      listReasons([leaving]),
-      listReasons([leaving, evacuated]),
-    ],
+    [getReason([]), getReason([leaving]), getReason([leaving, evacuated])],
     [
       'no upstream of chat is registered',
       'all upstreams of chat are leaving',
--- a/packages/routing/src/health.test.ts
+++ b/packages/routing/src/health.test.ts
@@ -17,11 +17,11 @@
 const POLICY = DEFAULT_HEALTH_POLICY;
 const AT_MS = 100_000;
 
-function createOut(): HealthState {
+function createEjectedState(): HealthState {
   return recordFailure(createHealthyState(), 'refused', POLICY, AT_MS);
 }
 
-test('three failures of work in a row take an upstream out, a success between clears them', () => {
+test('three consecutive failures eject an upstream, and a success in between resets the count', () => {
   let health = createHealthyState();
   for (const step of ['fail', 'fail', 'succeed', 'fail', 'fail']) {
     health =
@@ -33,26 +33,26 @@
   assert.equal(recordFailure(health, 'broken', POLICY, AT_MS).state, 'out');
 });
 
-test('a refused connection takes an upstream out at once', () => {
-  assert.equal(createOut().state, 'out');
-  assert.equal(isCandidate(createOut(), AT_MS), false);
+test('a refused connection ejects an upstream at once', () => {
+  assert.equal(createEjectedState().state, 'out');
+  assert.equal(isCandidate(createEjectedState(), AT_MS), false);
 });
 
-test('an answered report does not bring an upstream back, one successful trial does', () => {
-  const out = createOut();
+test('an answered report does not end an ejection, but one successful trial does', () => {
+  const ejected = createEjectedState();
   assert.equal(
-    recordLiveReport(out, POLICY, AT_MS + 1, AT_MS + 1).state,
+    recordLiveReport(ejected, POLICY, AT_MS + 1, AT_MS + 1).state,
     'out',
   );
   const trialAtMs = AT_MS + POLICY.trialDelayMs;
-  assert.equal(isCandidate(out, trialAtMs), true);
-  const trial = recordTrial(out);
+  assert.equal(isCandidate(ejected, trialAtMs), true);
+  const trial = recordTrial(ejected);
   assert.equal(isCandidate(trial, trialAtMs), false);
   assert.equal(recordSuccess(trial, trialAtMs).state, 'healthy');
 });
 
-test('each failed trial doubles the wait up to its bound', t => {
-  let health = createOut();
+test('each failed trial doubles the delay up to its maximum', t => {
+  let health = createEjectedState();
   const waits = [health.nextTrialAtMs - AT_MS];
   for (let count = 0; count < 7; count++) {
     health = recordFailure(recordTrial(health), 'broken', POLICY, AT_MS);
@@ -61,24 +61,34 @@
   t.assert.snapshot(waits);
 });
 
-test('a leaving upstream comes back only by a report fresher than its leaving', () => {
+test('a leaving upstream becomes a candidate only by a report newer than its leaving report', () => {
   const leaving = recordLeaving(createHealthyState(), AT_MS);
   assert.equal(isCandidate(leaving, AT_MS + 60_000), false);
-  const lagging = recordLiveReport(leaving, POLICY, AT_MS - 2000, AT_MS + 100);
-  assert.equal(lagging.state, 'leaving');
-  const fresh = recordLiveReport(leaving, POLICY, AT_MS + 2000, AT_MS + 2000);
-  assert.equal(isCandidate(fresh, AT_MS + 2000), true);
+  const afterOlderReport = recordLiveReport(
+    leaving,
+    POLICY,
+    AT_MS - 2000,
+    AT_MS + 100,
+  );
+  assert.equal(afterOlderReport.state, 'leaving');
+  const afterNewerReport = recordLiveReport(
+    leaving,
+    POLICY,
+    AT_MS + 2000,
+    AT_MS + 2000,
+  );
+  assert.equal(isCandidate(afterNewerReport, AT_MS + 2000), true);
 });
 
-test('an upstream that came back gets its full work by degrees', () => {
-  const back = recordSuccess(recordTrial(createOut()), AT_MS);
+test('a recovered upstream ramps up to its full share', () => {
+  const recovered = recordSuccess(recordTrial(createEjectedState()), AT_MS);
   const factors = [0, 0.5, 1, 2].map(part =>
-    getSlowStartFactor(back, POLICY, AT_MS + part * POLICY.slowStartMs),
+    getSlowStartFactor(recovered, POLICY, AT_MS + part * POLICY.slowStartMs),
   );
   assert.deepEqual(factors, [0.2, 0.6000000000000001, 1, 1]);
 });
 
-test('no sequence of reports alone makes an upstream that is out healthy', () => {
+test('no sequence of reports makes an ejected upstream healthy without a trial', () => {
   const steps = fc.array(
     fc.constantFrom('live', 'fail', 'refuse', 'leave') as fc.Arbitrary<
       'live' | 'fail' | 'refuse' | 'leave'
@@ -86,7 +96,7 @@
   );
   fc.assert(
     fc.property(steps, sequence => {
-      let health = createOut();
+      let health = createEjectedState();
       let nowMs = AT_MS;
       for (const step of sequence) {
         nowMs += 1000;
--- a/packages/token-bucket/src/token-bucket.ts
+++ b/packages/token-bucket/src/token-bucket.ts
@@ -1,12 +1,12 @@
 import type {Clock} from '@hollowstack/clock';
 
-/** A token bucket: `perSecond` on average, `burst` at once. */
+/** Token bucket that allows `perSecond` tokens on average and `burst` at once; starts full. */
 export class TokenBucket {
   private readonly clock: Clock;
   private perSecond: number;
   private burst: number;
   private tokens: number;
-  private filledAtMs: number;
+  private refilledAtMs: number;
   private takenCount = 0;
 
   constructor(clock: Clock, perSecond: number, burst: number) {
@@ -14,42 +14,42 @@
     this.perSecond = perSecond;
     this.burst = burst;
     this.tokens = burst;
-    this.filledAtMs = clock.getNow();
+    this.refilledAtMs = clock.getNow();
   }
 
-  /** Takes one token; returns false where none is left. */
+  /** Takes one token; returns false if none is left. */
   acquire(): boolean {
-    this.addEarnedTokens();
+    this.addAccruedTokens();
     if (this.tokens < 1) return false;
     this.tokens -= 1;
     this.takenCount += 1;
     return true;
   }
 
-  /** Returns how many tokens were taken in its life. */
+  /** Returns the number of tokens taken since its creation. */
   getTakenCount(): number {
     return this.takenCount;
   }
 
-  /** Returns milliseconds until a token is there. */
+  /** Returns milliseconds until a token is available; 0 if one is. */
   getWaitMs(): number {
-    this.addEarnedTokens();
+    this.addAccruedTokens();
     if (this.tokens >= 1) return 0;
     return ((1 - this.tokens) / this.perSecond) * 1000;
   }
 
-  /** Sets a new rate; tokens over the new burst are lost. */
+  /** Sets a new rate; tokens beyond the new burst are dropped. */
   setRate(perSecond: number, burst: number): void {
-    this.addEarnedTokens();
+    this.addAccruedTokens();
     this.perSecond = perSecond;
     this.burst = burst;
     this.tokens = Math.min(this.tokens, burst);
   }
 
-  private addEarnedTokens(): void {
+  private addAccruedTokens(): void {
     const nowMs = this.clock.getNow();
-    const gained = ((nowMs - this.filledAtMs) / 1000) * this.perSecond;
-    this.tokens = Math.min(this.burst, this.tokens + gained);
-    this.filledAtMs = nowMs;
+    const accrued = ((nowMs - this.refilledAtMs) / 1000) * this.perSecond;
+    this.tokens = Math.min(this.burst, this.tokens + accrued);
+    this.refilledAtMs = nowMs;
   }
 }
