--- a/packages/stages/src/batch-plan.test.ts
+++ b/packages/stages/src/batch-plan.test.ts
@@ -221,7 +221,7 @@
   const input = {
     ...createInput([pressing, patient, missed], [slow]),
     upstreamsInUse: 2,
-    hasUsualUpstream: true,
+    hasNormalSpeedUpstream: true,
   };
   const [batch] = assembleBatches(input);
   assert.deepEqual(
