--- a/packages/stages/src/batch-plan.ts
+++ b/packages/stages/src/batch-plan.ts
@@ -1,101 +1,102 @@
 import type {StageCapacity} from '@hollowstack/routes';
 import {listCompatible, type Isolation} from './isolation.ts';
 
-/** A job that waits, as the plan sees it. */
+/** A job with waiting pieces, as input of the plan. */
 export interface WaitingJob {
   readonly jobId: string;
-  /** Pieces that no upstream was asked for yet. */
+  /** Number of waiting pieces. */
   readonly pieceCount: number;
-  /** Milliseconds that one of its pieces takes. */
+  /** Milliseconds that one piece takes. */
   readonly pieceMs: number;
+  /** Bytes of the result of one piece. */
   readonly resultBytes: number;
   readonly queuedAtMs: number;
-  /** When the request's objective ends. */
+  /** Time by which the job must be done to meet the request's objective. */
   readonly dueAtMs: number;
+  /** 0 is the most urgent. */
   readonly priority: number;
-  /** Whether results of earlier stages are kept for it. */
+  /** Whether upstreams store results of earlier stages for the job. */
   readonly hasInputs: boolean;
-  /** Milliseconds before its due time that others' items should leave it. */
+  /** Milliseconds before the due time that pieces of other jobs must not use up. */
   readonly reserveMs: number;
-  /** Failure domain in which its inputs lie or its results will be read. */
+  /** Failure domain where the inputs are stored or the results will be read. */
   readonly failureDomain: string | undefined;
+  /** Bytes that cross failure domains if the job runs outside its own. */
   readonly crossingBytes: number;
-  /** Set where a call for the job broke, or upstreams crashed under its request. */
+  /** Set if a call of the job broke or upstreams crashed while they ran its request. */
   readonly isolation: Isolation | undefined;
 }
 
-/** An upstream that can take a call now, as the plan sees it. */
+/** An upstream that can take a call now, as input of the plan. */
 export interface FreeUpstream {
   readonly id: string;
   readonly failureDomain: string;
-  /** Bytes of results that it can take in. */
+  /** Free result memory in bytes. */
   readonly freeBytes: number;
-  /** How long work takes there over what it takes elsewhere. */
+  /** Ratio of the duration of calls to the expected duration; 1 is normal speed. */
   readonly slowness: number;
   readonly idleSinceMs: number;
 }
 
-/** Some pieces of a job in a call. */
+/** The pieces of one job in a call. */
 export interface BatchPart {
   readonly jobId: string;
   readonly pieceCount: number;
 }
 
-/** One call to make. */
+/** A planned call. */
 export interface Batch {
   readonly upstreamId: string;
   readonly parts: readonly BatchPart[];
 }
 
-/** What a plan for one service is made from. */
+/** Input of the plan for one service. */
 export interface BatchPlanInput {
   readonly nowMs: number;
   readonly capacity: StageCapacity;
   readonly jobs: readonly WaitingJob[];
   readonly free: readonly FreeUpstream[];
-  /** Failure domains that have an upstream in use, busy ones counted. */
+  /** Failure domains with at least one active upstream, busy upstreams included. */
   readonly domainsInUse: ReadonlySet<string>;
-  /** Upstreams in use, busy ones counted. */
+  /** Number of active upstreams, busy ones included. */
   readonly upstreamsInUse: number;
-  /** Whether one of them, busy or not, works at about the usual speed. */
+  /** Whether at least one active upstream, busy or not, works at about normal speed. */
   readonly hasNormalSpeedUpstream: boolean;
 }
 
-/** Below this, results may be read from another failure domain at once. */
+/** Jobs that move fewer bytes between failure domains run in any domain without a wait. */
 const SMALL_CROSSING_BYTES = 200_000;
 /**
- * Share of its spare time that a job waits for an upstream in its own domain. A longer
- * wait costs callers their time, a shorter one bytes between domains; one that has next
- * to none to spare, as a request with a large prompt, takes what is free. With a share of
- * all its time left such a job lost 70 ms of 600 in the mean.
+ * Share of its spare time that a job waits for an upstream in its own failure domain. A longer
+ * wait adds latency, a shorter one adds traffic between domains. The share is taken of the
+ * spare time, not of all remaining time, so that a job with almost none to spare, such as one
+ * of a request with a large prompt, takes any free upstream: with a share of all remaining
+ * time such a job lost 70 of 600 ms on average.
  */
 const DOMAIN_PATIENCE = 0.35;
 /**
- * Share of a call's fixed time after which a job has waited for long: several upstreams
- * of any domain have come free meanwhile, and one of its own in the mean.
+ * Share of the fixed duration of a call after which a wait counts as long: by then several
+ * upstreams have become free, on average one of them in the job's own domain.
  */
 const LONG_WAIT_SHARE = 0.5;
-/** An upstream this much slower is used only where the others cannot keep up. */
+/** Slowness from which on an upstream is used only if the others cannot keep up. */
 export const SLOW_FACTOR = 2;
-/**
- * Milliseconds that work has waited when slow upstreams are used as well;
- * about one call.
- */
+/** Wait, about one call long, after which slow upstreams are used as well. */
 const SLOW_RESERVE_WAIT_MS = 200;
-/** Milliseconds by which one step of priority goes before a later due time. */
+/** One step of priority outweighs a due time that is this much earlier. */
 const PRIORITY_STEP_MS = 300;
-/** Puts jobs that can no longer be in time behind all that still can. */
+/** Ranks jobs that can no longer be in time after all jobs that still can. */
 const LATE_MS = 100_000;
 /**
- * Puts late jobs whose earlier stages have not run behind those whose have: what these
- * still take is less, and while they wait their inputs fill memory that others lack.
+ * Ranks late jobs without inputs after late jobs with inputs: the latter have less work left,
+ * and while they wait their inputs occupy result memory that others need.
  */
 const LATE_WITHOUT_INPUTS_MS = 2 * LATE_MS;
 
 /**
- * Plans the calls of one service: the most urgent jobs first, each whole in one
- * call where that can be, in the failure domain that its data lies in, and
- * spread over the free upstreams.
+ * Plans the calls of one service. The most urgent jobs go first, each in a single call if
+ * possible and in the failure domain where its data is stored; the work is spread over the free
+ * upstreams.
  */
 export function assembleBatches(input: BatchPlanInput): Batch[] {
   const {capacity} = input;
@@ -124,11 +125,11 @@
   return batches;
 }
 
-// Jobs whose data lies in the upstream's domain go first. While a whole call's items wait,
-// those of other domains that have waited for long fill what is left of the call: an
-// upstream that stood idle or worked on a few items for its domain's sake cost a sixth of
-// a service in bursts. On calm days, when a call's items wait for a moment only, it would
-// cost six times the bytes between domains.
+// Jobs whose data is stored in the upstream's failure domain go first. If at least a full
+// batch waits, jobs of other domains that have waited for long fill the rest of the call:
+// without that, upstreams that stayed idle or ran small calls cost a sixth of a service's
+// capacity in bursts. Under light load, when pieces wait only briefly, filling up would
+// transfer six times as many bytes between domains.
 function listEligible(
   waiting: readonly WaitingJob[],
   left: ReadonlyMap<string, number>,
@@ -151,15 +152,15 @@
 }
 
 interface BatchBounds {
-  /** Pieces aimed at. */
+  /** Target number of pieces. */
   readonly size: number;
-  /** Pieces that no call may exceed. */
+  /** Maximum number of pieces. */
   readonly maxSize: number;
-  /** Whether more waits than fits in the calls at hand. */
+  /** Whether more pieces wait than the free upstreams can take in one call each. */
   readonly maySplit: boolean;
   readonly freeBytes: number;
   readonly startedAtMs: number;
-  /** Milliseconds of a call beside those of its pieces. */
+  /** Fixed milliseconds of a call, in addition to those of its pieces. */
   readonly callMs: number;
 }
 
@@ -179,7 +180,7 @@
     const room = countRoom(job, bounds.freeBytes - bytes);
     const fitting = Math.min(wanted, room, bounds.maxSize - pieces);
     if (fitting <= 0) continue;
-    // Otherwise a job is only split where a call of its own would not hold it.
+    // Otherwise a job is split only if it does not fit in a call of its own.
     if (fitting < wanted && parts.length > 0 && !bounds.maySplit) continue;
     const addedMs = fitting * job.pieceMs;
     if (!bounds.maySplit && workMs + addedMs > spareMs) continue;
@@ -193,11 +194,12 @@
   return parts;
 }
 
-// Each piece makes the call longer for all in it: one with 25 pieces of 8 ms takes 446 ms
-// where one with two takes 257, which is what a request with a large prompt cannot wait.
-// One that is late already holds up nobody, and where more waits than fits in the calls
-// at hand, full calls serve more.
-// What is behind the call takes up to a fifth longer than predicted, which is the reserve.
+// Computes how long the pieces of a call may take before the job becomes late. Each piece
+// delays all others in the call: a call with 25 pieces of 8 ms takes 446 ms, one with two
+// takes 257 ms, and a request with a large prompt cannot afford the difference. A job that is
+// late already sets no bound, nor does any job while more pieces wait than the free upstreams
+// can take, since full calls then serve more. The reserve covers the work after the call,
+// which takes up to a fifth longer than predicted.
 function computeSpareMs(
   job: WaitingJob,
   workMs: number,
@@ -227,8 +229,8 @@
   return input.nowMs - job.queuedAtMs >= DOMAIN_PATIENCE * spareMs;
 }
 
-// On a slow upstream a job would be late that another one, busy now, could
-// still serve in time.
+// Keeps a job off a slow upstream that would make it late, if an upstream of normal speed,
+// busy now, could still serve it in time.
 function mayRunOn(
   job: WaitingJob,
   {slowness}: FreeUpstream,
@@ -261,7 +263,7 @@
     .map(({job}) => job);
 }
 
-// Jobs that are late already would hold up those that can still be in time.
+// Late jobs rank last, so that they do not delay jobs that can still be in time.
 function computeRank(job: WaitingJob, input: BatchPlanInput): number {
   const lateMs = isLate(job, 1, input) ? computeLateMs(job) : 0;
   return job.dueAtMs + job.priority * PRIORITY_STEP_MS + lateMs;
@@ -271,7 +273,7 @@
   return hasInputs ? LATE_MS : LATE_WITHOUT_INPUTS_MS;
 }
 
-// Whether a call of its own, begun now, would end too late for the job.
+// Whether a call with only this job, started now, would end after the due time.
 function isLate(
   job: WaitingJob,
   slowness: number,
@@ -280,7 +282,7 @@
   return input.nowMs + computeWorkMs(job, input) * slowness > job.dueAtMs;
 }
 
-// Milliseconds of a call of its own.
+// Computes the milliseconds of a call with only this job.
 function computeWorkMs(job: WaitingJob, {capacity}: BatchPlanInput): number {
   return capacity.callMs + job.pieceMs * job.pieceCount;
 }
--- a/packages/stages/src/batch-runner.ts
+++ b/packages/stages/src/batch-runner.ts
@@ -28,28 +28,30 @@
   readonly caller: Pick<StageCaller, 'runPieces'>;
   readonly jobs: JobTable;
   readonly fleet: StageFleet;
-  /** Learns what calls take. */
+  /** Learns the duration of calls. */
   readonly times: ServiceTimes;
   readonly inputReleaser: EarlyInputReleaser;
-  /** Whether inputs are given back while the calls that have read them still work. */
+  /**
+   * Whether inputs are released while the calls that have read them are still in flight.
+   */
   readonly releasesInputsEarly: boolean;
-  /** Gives results back to the upstreams that keep them. */
+  /** Releases results at the upstreams that store them. */
   readonly releaseResults: (results: readonly StageResult[]) => void;
-  /** Called when pieces of a job were taken, or wait again. */
+  /** Called after pieces of a job were dispatched or requeued. */
   readonly handlePhaseChange: (state: JobState) => void;
-  /** Called when a call is over. */
+  /** Called when a call has ended, successfully or not. */
   readonly handleCallEnd: () => void;
 }
 
-/** How a batch is to be run. */
+/** Options of one call. */
 export interface BatchRunOptions {
   readonly capacity: StageCapacity;
   readonly nowMs: number;
-  /** Whether a call's items or more wait that no upstream was free for. */
+  /** Whether at least a full batch is left waiting for a free upstream. */
   readonly hasBacklog: boolean;
 }
 
-/** A call that is answered. */
+/** A call in flight or just answered. */
 interface RunningCall {
   readonly startedAtMs: number;
   readonly expectedMs: number;
@@ -57,17 +59,18 @@
   readonly isLoaded: boolean;
 }
 
-/** Milliseconds for which an upstream that was full is left alone. */
+/** Pause of an upstream that refused a call without starting it. */
 const FULL_PAUSE_MS = 60;
 /**
- * A call is given up after this many times what it should take; upstreams at
- * a quarter of their speed are slow, not gone.
+ * Multiple of the expected duration after which a call times out. The expected duration is
+ * scaled by the upstream's slowness, so that an upstream at a quarter of its speed is treated
+ * as slow, not as unreachable.
  */
 const CALL_TIMEOUT_FACTOR = 3;
-/** Milliseconds beside that, for connections and lost packets. */
+/** Added to the timeout for connection setup and lost packets. */
 const CALL_TIMEOUT_MARGIN_MS = 400;
 
-/** Makes the calls of planned batches, and settles the jobs by what they bring. */
+/** Makes the calls of planned batches and settles the jobs with the answers. */
 export class BatchRunner {
   private readonly parts: BatchRunnerParts;
 
@@ -75,7 +78,7 @@
     this.parts = parts;
   }
 
-  /** Makes the call of a batch and settles what it brought; never rejects. */
+  /** Makes the call of a batch and settles its pieces; never rejects. */
   async runBatch(
     batch: Batch,
     {capacity, nowMs, hasBacklog}: BatchRunOptions,
@@ -119,7 +122,7 @@
     } finally {
       reads.end();
       upstream.endCall(this.parts.clock.getNow());
-      // Some of them may wait again.
+      // Some pieces may have been requeued.
       for (const state of listJobStates(taken))
         this.parts.handlePhaseChange(state);
       this.parts.handleCallEnd();
@@ -167,9 +170,9 @@
     );
   }
 
-  // Calls that lacked room or inputs end early, and say nothing of the work. How slow one
-  // upstream is counts against the others': if all of them count as slow or fast, it is
-  // the expectation that is wrong.
+  // Skips calls with failed pieces: a call that lacks memory or inputs ends early, so its
+  // duration is not that of the work. The slowness of the upstream is taken relative to the
+  // median: if all upstreams appear slow or fast, the expectation is wrong.
   private recordTimes(
     upstream: StageUpstream,
     taken: readonly InFlightPiece[],
@@ -236,7 +239,8 @@
       return;
     }
     if (failure === 'no-room') {
-      // Somebody else's results lie there, of an instance that is gone maybe.
+      // The upstream stores results unknown to this coordinator, for example of an instance
+      // that no longer exists.
       const free = this.parts.fleet.countFreeBytes(upstream);
       upstream.addUntrackedBytes(free - job.resultBytes + 1, nowMs);
       this.putBack(taken);
@@ -299,7 +303,8 @@
     else this.parts.jobs.fail(taken.state, 'failed', message);
   }
 
-  // The stages before it have to run again, and the sooner the better.
+  // Fails the job at once if its inputs have been released, since the earlier stages then
+  // have to run again.
   private putBack({state, piece}: InFlightPiece): void {
     if (state.requeuePiece(piece.piece)) return;
     this.parts.jobs.fail(
--- a/packages/stages/src/broken-call.ts
+++ b/packages/stages/src/broken-call.ts
@@ -2,10 +2,10 @@
 import type {JobState, LocalBrokenCall} from './job-state.ts';
 
 /**
- * Has the jobs of a call whose connection broke tried again apart: one of them may have
- * crashed the upstream, and together they would crash the next one.
+ * Isolates the jobs of a call whose connection broke before they are retried: one of them may
+ * have crashed the upstream, and a retry of the same batch would crash the next one.
  *
- * @returns The jobs that are not tried again.
+ * @returns The jobs that are not retried.
  */
 export function splitBrokenCall(
   states: ReadonlySet<JobState>,
--- a/packages/stages/src/early-input-releaser.ts
+++ b/packages/stages/src/early-input-releaser.ts
@@ -7,28 +7,28 @@
 export interface EarlyInputReleaserParts {
   readonly clock: Clock;
   readonly fleet: Pick<StageFleet, 'findHeldInput' | 'isShortOfMemory'>;
-  /** Gives results back to the upstreams that keep them. */
+  /** Releases results at the upstreams that store them. */
   readonly releaseResults: (results: readonly StageResult[]) => void;
 }
 
-/** A call whose reading of inputs is followed. */
+/** Tracks when the upstream of a call has read its inputs. */
 export interface CallReadTracker {
-  /** Notes that the first byte of the call leaves. */
+  /** Records that the first byte of the call is sent. */
   recordSent(): void;
-  /** Notes that the call is over, whatever became of it. */
+  /** Stops tracking; called when the call has ended, successfully or not. */
   end(): void;
 }
 
 /**
- * Share of the time that a call is expected to take after which its upstream has read
- * the inputs. It fetches them first, in some 10 ms; the rest is for connections and one
- * packet that has to be sent again (200 ms).
+ * Share of the expected duration of a call after which its upstream has read the inputs. The
+ * upstream fetches them first, in about 10 ms; the rest allows for connection setup and one
+ * retransmitted packet (200 ms).
  */
 const READ_SHARE = 0.5;
 
 /**
- * Gives the inputs of jobs back while the calls that have read them still work, where
- * the memory that they take is short.
+ * Releases the inputs of jobs while the calls that have read them are still in flight, if the
+ * memory that stores them is short.
  */
 export class EarlyInputReleaser {
   private readonly parts: EarlyInputReleaserParts;
@@ -37,7 +37,7 @@
     this.parts = parts;
   }
 
-  /** Begins to follow a call. */
+  /** Starts tracking a call. */
   beginCall(
     taken: readonly InFlightPiece[],
     expectedMs: number,
@@ -61,7 +61,7 @@
     }
   }
 
-  // Inputs that another coordinator knows of are left to whoever asked for the job.
+  // Inputs that another coordinator accounts for are left to the submitter of the job.
   private releaseInputs(state: JobState): void {
     const {fleet, releaseResults} = this.parts;
     const inputs = state.job.inputs.map(handle => fleet.findHeldInput(handle));
--- a/packages/stages/src/first-event-times.ts
+++ b/packages/stages/src/first-event-times.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@hollowstack/clock';
 
-/** What was seen of a route, each value weighted by its age. */
+/** Sums over the observations of a route, weighted by recency. */
 interface Sums {
   weight: number;
   tokens: number;
@@ -10,29 +10,29 @@
   recordedAtMs: number;
 }
 
-/** Share of its weight that an observation keeps with each one that follows. */
+/** Factor on the weight of earlier observations with each new one. */
 const DECAY = 0.97;
 /**
- * Observations, by weight, before a slope is taken from them; about half of what the
- * decay lets add up.
+ * Minimum total weight of the observations before a slope is fitted; a bit more than a third
+ * of the maximum that the decay allows.
  */
 const MIN_WEIGHT = 12;
 /**
- * Milliseconds after which what was seen counts half: a route that is refused because it
- * was slow must get its next try.
+ * Half-life of the learned times without new observations: a route whose requests are refused
+ * because it was slow must be tried again.
  */
 const HALF_LIFE_MS = 4000;
 /**
- * Milliseconds a token at most: an engine that reads 5 tokens in a millisecond would be
- * ten times slower than any known.
+ * Upper bound of the slope: an engine that reads only 5 tokens per millisecond would be ten
+ * times slower than any known one.
  */
 const MAX_MS_PER_TOKEN = 0.2;
 
 /**
- * Learns how long requests take from their send to the first event, by the tokens of
- * their prompts that no other request shares: a prompt of 50,000 tokens is read for half
- * a second where the mean of its route is a tenth of that. A line fitted to weighted
- * squares, by route.
+ * Learns the time from the send of a request to its first event as a function of the prompt
+ * tokens that it shares with no other request: a prompt of 50,000 tokens takes half a second
+ * on a route whose mean is a tenth of that. Fits a line to each route by weighted least
+ * squares.
  */
 export class FirstEventTimes {
   private readonly clock: Clock;
@@ -42,7 +42,7 @@
     this.clock = clock;
   }
 
-  /** Notes how long a request took to its first event. */
+  /** Records the time from the send of a request to its first event. */
   recordFirstEvent(route: string, ownTokens: number, firstMs: number): void {
     const before = this.sums.get(route);
     const keep = before ? DECAY : 0;
@@ -59,9 +59,9 @@
   }
 
   /**
-   * Predicts milliseconds from the send of a request to its first event.
+   * Predicts the milliseconds from the send of a request to its first event.
    *
-   * @param defaultMs Returned for a route of which nothing was seen, or long ago.
+   * @param defaultMs Returned for a route without observations; old observations decay to it.
    */
   predictMs(route: string, ownTokens: number, defaultMs: number): number {
     const seen = this.sums.get(route);
@@ -73,7 +73,7 @@
     return this.computeFaded(seen, seenMs, defaultMs);
   }
 
-  /** Predicts the same for a request of usual size. */
+  /** Predicts the same for a request of mean size. */
   predictMeanMs(route: string, defaultMs: number): number {
     const seen = this.sums.get(route);
     if (!seen) return defaultMs;
--- a/packages/stages/src/index.ts
+++ b/packages/stages/src/index.ts
@@ -1,4 +1,7 @@
-/** Stages made of pieces: batches over all instances, room for results, and giving them back. */
+/**
+ * Pipeline stages: batches the pieces of requests from all instances, accounts for result
+ * memory and releases results.
+ */
 export {FirstEventTimes} from './first-event-times.ts';
 export {
   assembleBatches,
--- a/packages/stages/src/isolation.ts
+++ b/packages/stages/src/isolation.ts
@@ -1,28 +1,31 @@
-/** Keeps jobs apart from others, so that a call that breaks shows which of them is the cause. */
+/**
+ * Restricts which jobs may share a call, so that a broken call reveals the job that
+ * caused it.
+ */
 export interface Isolation {
-  /** Jobs of one group may share a call. */
+  /** Only jobs of the same group may share a call. */
   readonly group: string;
-  /** Jobs in such a call, at most. */
+  /** Maximum number of jobs in one call. */
   readonly maxJobs: number;
 }
 
-/** Calls that the jobs of a broken call are divided into. */
+/** Number of calls over which the jobs of a broken call are split. */
 const PARTS = 4;
 
 /**
- * Returns how the jobs of a call whose connection broke are tried again: in a quarter of
- * their number, so that a call of four or fewer has each of them alone.
+ * Creates the isolation for retrying the jobs of a broken call. Each retry holds at most a
+ * quarter of the jobs, so a call of four or fewer jobs is retried one job at a time.
  *
- * @param callId Names the call that broke.
+ * @param callId Identifies the broken call.
  */
 export function createIsolation(callId: string, jobCount: number): Isolation {
   return {group: callId, maxJobs: Math.max(1, Math.ceil(jobCount / PARTS))};
 }
 
 /**
- * Returns the jobs that may share the next call with the first of them.
+ * Lists the jobs that may share a call with the first job.
  *
- * @param jobs The most urgent first.
+ * @param jobs Sorted by urgency, the most urgent first.
  */
 export function listCompatible<
   Job extends {readonly isolation: Isolation | undefined},
--- a/packages/stages/src/job-state.ts
+++ b/packages/stages/src/job-state.ts
@@ -10,19 +10,19 @@
 import type {CallShare} from './service-times.ts';
 import type {StagePiece} from './stage-protocol.ts';
 
-/** A piece that is on its way to an upstream. */
+/** A piece in a call that is in flight, with its job. */
 export interface InFlightPiece {
   readonly state: JobState;
   readonly job: StageJob;
   readonly piece: StagePiece;
 }
 
-/** Failed pieces that one job may have made again. */
+/** Maximum failed pieces that are retried for a job, as a multiple of its pieces. */
 const MAX_FAILED_PIECES_FACTOR = 2;
-/** Broken calls after which a job that was alone in the last one is given up. */
+/** Broken calls after which a job fails if it was alone in the last one. */
 const MAX_BROKEN_CALLS = 2;
 
-/** A call whose connection broke, on the clock of this instance. */
+/** A call whose connection broke, with times on the clock of this instance. */
 export interface LocalBrokenCall {
   readonly upstream: BrokenCall['upstream'];
   readonly sentAtMs: number;
@@ -32,7 +32,7 @@
 /** Why a job has no results. */
 export type JobFailure = Omit<Extract<StageOutcome, {type: 'failed'}>, 'type'>;
 
-/** A job and how far its pieces are. */
+/** A job and the progress of its pieces. */
 export class JobState {
   readonly job: StageJob;
   readonly deadlineAtMs: number;
@@ -61,6 +61,7 @@
     this.results = new Array(job.pieceCount).fill(undefined);
   }
 
+  /** Number of pieces that wait for a call; 0 once the job is settled. */
   get waitingCount(): number {
     return this.isSettled ? 0 : this.waiting.length;
   }
@@ -84,7 +85,7 @@
     };
   }
 
-  /** Takes the next pieces to be asked of an upstream. */
+  /** Removes the next pieces from the queue, to be sent to an upstream. */
   takePieces(count: number, nowMs: number): InFlightPiece[] {
     const {job} = this;
     return this.waiting.splice(0, count).map(piece => ({
@@ -102,8 +103,9 @@
   }
 
   /**
-   * Puts a piece back that was not made; false where its inputs are given back already,
-   * so that it cannot be made any more.
+   * Returns a piece without a result to the queue.
+   *
+   * @returns False if the inputs have been released, so that the piece cannot run again.
    */
   requeuePiece(piece: number): boolean {
     if (this.areInputsReleased) return false;
@@ -112,7 +114,11 @@
     return true;
   }
 
-  /** Notes that an upstream failed to make a piece; false where that is once too often. */
+  /**
+   * Records that an upstream failed to run a piece.
+   *
+   * @returns False if the job has exceeded its maximum of failed pieces.
+   */
   recordFailedPiece(): boolean {
     this.failedPieces += 1;
     const most = this.job.pieceCount * MAX_FAILED_PIECES_FACTOR;
@@ -120,9 +126,10 @@
   }
 
   /**
-   * Notes that a call with pieces of the job broke; false where that is once too often.
+   * Records that the connection of a call with pieces of the job broke.
    *
-   * @param isolation How the jobs of the call are tried again.
+   * @param isolation Restricts which jobs share the retried call.
+   * @returns False if the job must not be retried.
    */
   recordBrokenCall(call: LocalBrokenCall, isolation: Isolation): boolean {
     this.lostCalls.push(call);
@@ -131,12 +138,15 @@
     return !wasAlone || this.lostCalls.length < MAX_BROKEN_CALLS;
   }
 
-  /** Notes that an upstream has answered a call with pieces of the job. */
+  /**
+   * Records that an upstream answered a call with the job, which ends the isolation that
+   * followed a broken call.
+   */
   recordAnsweredCall(): void {
     if (!this.job.isIsolated) this.isolation = undefined;
   }
 
-  /** Lists the calls for the job that broke, as they are told to the submitter. */
+  /** Lists the broken calls of the job in the format that is reported to the submitter. */
   listBrokenCalls(nowMs: number): BrokenCall[] {
     return this.lostCalls.map(({upstream, sentAtMs, endedAtMs}) => ({
       upstream,
@@ -145,24 +155,28 @@
     }));
   }
 
-  /** Notes that an upstream has fetched the inputs of a piece. */
+  /** Records that an upstream has fetched the inputs of a piece. */
   recordRead(piece: number): void {
     this.read.add(piece);
   }
 
-  /** Returns whether nobody will read the job's inputs any more. */
+  /** Returns whether all pieces have read the inputs and no other job reads them. */
   mayReleaseInputs(): boolean {
     const {job, read, isSettled, areInputsReleased} = this;
     if (isSettled || areInputsReleased || job.inputs.length === 0) return false;
     return job.isOnlyReader === true && read.size === job.pieceCount;
   }
 
-  /** Notes that the job's inputs are given back; its pieces cannot be made again. */
+  /** Records that the job's inputs have been released; its pieces cannot be retried. */
   recordInputsReleased(): void {
     this.areInputsReleased = true;
   }
 
-  /** Notes a result; returns false where nobody waits for it any more. */
+  /**
+   * Records the result of a piece; the last one settles the job.
+   *
+   * @returns False if the job was already settled.
+   */
   recordResult(piece: number, result: StageResult): boolean {
     if (this.isSettled) return false;
     this.results[piece] = result;
@@ -179,7 +193,7 @@
     return this.results.filter(result => result !== undefined);
   }
 
-  /** Ends the job without results. */
+  /** Settles the job as failed. */
   fail(failed: JobFailure): void {
     if (this.isSettled) return;
     this.isSettled = true;
@@ -187,14 +201,14 @@
   }
 }
 
-/** Lists the jobs that items of a call belong to. */
+/** Lists the jobs that the pieces of a call belong to. */
 export function listJobStates(
   taken: readonly InFlightPiece[],
 ): ReadonlySet<JobState> {
   return new Set(taken.map(({state}) => state));
 }
 
-/** Counts the pieces of a call by the stages that they belong to. */
+/** Groups the pieces of a call by stage. */
 export function listCallShares(
   taken: readonly InFlightPiece[],
   {pieceMs}: StageCapacity,
--- a/packages/stages/src/job-table.ts
+++ b/packages/stages/src/job-table.ts
@@ -12,13 +12,13 @@
 /** Dependencies of JobTable. */
 export interface JobTableParts {
   readonly getNow: () => number;
-  /** What items take, as learnt. */
+  /** Learned duration of a piece. */
   readonly times: Pick<ServiceTimes, 'getItemMs'>;
-  /** Gives results back to the upstreams that keep them. */
+  /** Releases results at the upstreams that store them. */
   readonly releaseResults: (results: readonly StageResult[]) => void;
 }
 
-/** The jobs that are not settled yet. */
+/** The unsettled jobs by id. */
 export class JobTable {
   private readonly parts: JobTableParts;
   private readonly jobs = new Map<string, JobState>();
@@ -34,7 +34,7 @@
   /**
    * Adds a job.
    *
-   * @param settle Called once with what became of it.
+   * @param settle Called once, with the outcome of the job.
    */
   add(job: StageJob, settle: (outcome: StageOutcome) => void): JobState {
     const state = new JobState(job, this.parts.getNow(), outcome => {
@@ -49,7 +49,7 @@
     return this.jobs.get(jobId);
   }
 
-  /** Ends a job without results; what was made for it is given back. */
+  /** Fails a job and releases the results of its finished pieces. */
   fail(
     state: JobState,
     failure: StageFailure,
@@ -62,14 +62,14 @@
     this.parts.releaseResults(state.listResults());
   }
 
-  /** Ends all jobs without results. */
+  /** Fails all jobs as overloaded. */
   failAll(message: string): void {
     for (const state of [...this.jobs.values()]) {
       this.fail(state, 'overloaded', message);
     }
   }
 
-  /** Ends the jobs whose deadline has passed. */
+  /** Fails the jobs whose deadline has passed. */
   failOverdue(): void {
     const nowMs = this.parts.getNow();
     const message = 'the deadline passed while the pieces waited';
@@ -78,7 +78,10 @@
     }
   }
 
-  /** Ends the jobs that no upstream of their service will take in time. */
+  /**
+   * Fails the jobs that would miss their objective if they waited until the service is
+   * available.
+   */
   failUnservable(
     service: string,
     {reason, waitMs = Infinity, retryAfterMs}: Unavailability,
@@ -93,7 +96,7 @@
     }
   }
 
-  /** Lists the services that have jobs waiting. */
+  /** Lists the services with waiting pieces. */
   listServices(): ReadonlySet<string> {
     const services = new Set<string>();
     for (const state of this.jobs.values()) {
@@ -102,14 +105,14 @@
     return services;
   }
 
-  /** Lists the jobs of a service that wait for calls. */
+  /** Lists the jobs of a service with waiting pieces. */
   listWaiting(service: string, capacity: StageCapacity): WaitingJob[] {
     return this.listWaitingStates(service).map(state =>
       this.toWaiting(state, capacity),
     );
   }
 
-  /** Counts the pieces of a service that wait for calls. */
+  /** Counts the waiting pieces of a service. */
   countWaitingPieces(service: string): number {
     return this.listWaitingStates(service).reduce(
       (sum, {waitingCount}) => sum + waitingCount,
--- a/packages/stages/src/peer-watch.ts
+++ b/packages/stages/src/peer-watch.ts
@@ -2,7 +2,7 @@
 import type {EventLogger} from '@hollowstack/logger';
 import type {Membership, PeerLink, PeerRecord} from '@hollowstack/peers';
 
-/** What a watch works with. */
+/** Dependencies of PeerWatch. */
 export interface PeerWatchParts {
   readonly clock: Clock;
   readonly logger: EventLogger;
@@ -10,10 +10,11 @@
   readonly membership: Pick<Membership, 'getLiveCount'>;
 }
 
-/** One caller's part in the watch of a peer. */
+/** A caller's handle on the watch of a peer. */
 export interface PeerWatchHandle {
-  /** Resolves once the peer is silent; never, where it answers. */
+  /** Resolves once the peer is unresponsive; never settles while it answers. */
   readonly failed: Promise<undefined>;
+  /** Stops the watch if no other caller needs it. */
   end(): void;
 }
 
@@ -24,26 +25,25 @@
 }
 
 /**
- * Milliseconds between pings of a coordinator that owes an answer, at least; two
- * fit in the 0.6 s in which its silence must be noticed.
+ * Minimum interval between pings; with the ping timeout it adds up to the 0.6 s within which an
+ * unresponsive coordinator must be detected.
  */
 const MIN_PING_EVERY_MS = 150;
 /**
- * Milliseconds between pings for each live instance: all of them together ask
- * one coordinator at most 670 times a second, however many they are. The figure
- * is a guess: 0.3 s at 200 instances. A process that is killed closes its
- * streams; only freezes and cuts are noticed by pings.
+ * Interval between pings per live instance, 0.3 s at 200 instances: all instances together
+ * send one coordinator at most 670 pings a second, regardless of their number. A longer
+ * interval is acceptable since a killed process closes its streams; only a frozen process or
+ * a network partition has to be detected by pings.
  */
 const PING_EVERY_MS_PER_INSTANCE = 1.5;
 /**
- * Milliseconds for the answer to a ping; some hundred round trips, and room
- * for a busy process.
+ * Timeout of a ping; about a hundred round trips, and enough for a busy process to answer.
  */
 const PING_TIMEOUT_MS = 450;
 
 /**
- * Notices silent peers by pings, sent only while somebody waits for an answer
- * of theirs, and one at a time however many wait.
+ * Detects unresponsive peers by pings. A peer is pinged only while callers wait for its
+ * answers, and all callers share one ping at a time.
  */
 export class PeerWatch {
   private readonly parts: PeerWatchParts;
@@ -53,7 +53,7 @@
     this.parts = parts;
   }
 
-  /** Watches a peer until the returned part is ended. */
+  /** Watches a peer until the returned handle is ended. */
   beginWatching(record: PeerRecord): PeerWatchHandle {
     const peer = this.watched.get(record.id) ?? this.addPeer(record);
     let waiter = () => {};
--- a/packages/stages/src/pending-work-table.ts
+++ b/packages/stages/src/pending-work-table.ts
@@ -2,32 +2,32 @@
 import type {StageStep} from '@hollowstack/types';
 
 /**
- * How far a step of an admitted request is: its inputs are still being made, its items
- * wait for a call, or all of them are in calls.
+ * Progress of a step of an admitted request: `planned` while its inputs are not ready,
+ * `queued` while pieces wait for a call, `running` once all pieces are in flight.
  */
 export type StepPhase = 'planned' | 'queued' | 'running';
 
-/** What one step of an admitted request still takes of a service. */
+/** Work that one step of an admitted request still needs from a service. */
 export interface PendingWork {
-  /** Milliseconds of one upstream. */
+  /** Milliseconds for which the step occupies one upstream. */
   readonly workMs: number;
-  /** Bytes that its results take. */
+  /** Bytes of all results of the step. */
   readonly resultBytes: number;
   readonly priority: number;
   readonly phase: StepPhase;
 }
 
-/** Work of a service that goes before a request. */
+/** Work of a service that is scheduled before a request. */
 export type WorkAhead = Pick<PendingWork, 'workMs' | 'resultBytes'>;
 
-/** The part of a call in progress that is still to be done, on average. */
+/** Mean share of a call in flight that is still to be done. */
 const RUNNING_SHARE = 0.5;
 
 /**
- * Computes how long a stage keeps one upstream busy, its part of the calls'
- * fixed time counted.
+ * Computes how long a stage occupies one upstream, including its share of the fixed duration
+ * of calls.
  *
- * @param fill Share of a batch that calls are filled to.
+ * @param fill Mean ratio of pieces in a call to the batch size.
  */
 export function computeWorkMs(
   capacity: StageCapacity,
@@ -39,20 +39,20 @@
   return pieceCount * (pieceMs + callShareMs);
 }
 
-/** What a prediction is made from. */
+/** Input of predictFinishMs. */
 export interface FinishInput {
   readonly steps: readonly StageStep[];
   readonly getCapacity: (service: string) => StageCapacity | undefined;
   /** Milliseconds that one piece of a step takes. */
   readonly getPieceMs: (step: StageStep, capacity: StageCapacity) => number;
   /**
-   * Milliseconds before an upstream of the service is free for a step that begins now,
-   * or for one whose inputs are still to be made.
+   * Milliseconds until an upstream of the service is free for a step that starts now (`queued`)
+   * or whose inputs are not ready (`planned`).
    */
   readonly getWaitMs: (service: string, phase: 'queued' | 'planned') => number;
 }
 
-/** Predicts milliseconds until all steps of a request are done. */
+/** Predicts the milliseconds until all steps of a request are done. */
 export function predictFinishMs(input: FinishInput): number {
   const finishes: number[] = [];
   const readStep = (index: number): number => {
@@ -72,12 +72,12 @@
   return Math.max(0, ...input.steps.map((_, index) => readStep(index)));
 }
 
-/** The work that admitted requests still bring to each service. */
+/** The work that admitted requests still need from each service. */
 export class PendingWorkTable {
   /** Work by service, then by request and step. */
   private readonly pending = new Map<string, Map<string, PendingWork>>();
 
-  /** Notes the work of one step of a request. */
+  /** Adds the work of one step of a request. */
   addStep(
     service: string,
     requestId: string,
@@ -92,7 +92,7 @@
     steps.set(`${requestId}/${step}`, work);
   }
 
-  /** Notes how far a step is; one that is not known is passed over. */
+  /** Sets the phase of a step; unknown steps are ignored. */
   setPhase(
     service: string,
     requestId: string,
@@ -104,16 +104,16 @@
     if (work) steps!.set(`${requestId}/${step}`, {...work, phase});
   }
 
-  /** Notes that a step is done or will never be. */
+  /** Removes a step that is done or cancelled. */
   removeStep(service: string, requestId: string, step: number): void {
     this.pending.get(service)?.delete(`${requestId}/${step}`);
   }
 
   /**
-   * Sums the work of a service that goes before a step of a priority. Steps whose inputs
-   * are still being made go before a planned step, not before one that begins now: counted
-   * for both, a request waits for work that comes long after its own, and 8 of 100 were
-   * refused on a day when nothing was short.
+   * Sums the work of a service that is scheduled before a step of the given priority. Planned
+   * steps count before a planned step, but not before one that starts now: otherwise a request
+   * appears to wait for work that comes long after its own, and 8 of 100 requests were refused
+   * although capacity was sufficient.
    */
   computeWorkAhead(
     service: string,
--- a/packages/stages/src/request-stages.ts
+++ b/packages/stages/src/request-stages.ts
@@ -12,54 +12,61 @@
 import type {StageDispatcher} from './stage-dispatcher.ts';
 import {computeSlackMs, type StageProgress} from './stage-timing.ts';
 
-/** Milliseconds that a request itself takes to its first bytes, until it was learnt. */
+/** Assumed time from the end of the stages to the first event, until it is learned. */
 const USUAL_REQUEST_MS = 120;
 
 /**
- * Share of an upstream's result memory from which on the results of a stage
- * count as large, so that they are made no earlier than they are needed. Below
- * it a delay would save next to nothing.
+ * Share of an upstream's result memory from which on the results of a stage count as large,
+ * so that the stage is deferred. For smaller results a delay would save almost no memory.
  */
 const LARGE_RESULT_SHARE = 0.04;
-/** Milliseconds after which a delayed stage looks again how far the others are. */
+/** Interval at which a deferred stage checks the progress of the others. */
 const SLACK_CHECK_MS = 40;
-/** Least share of its predicted time that a running stage is taken to need still. */
+/** Minimum share of its predicted time that a running stage is assumed to still need. */
 const MIN_REMAINING_SHARE = 0.2;
 /**
- * Share by which requests take longer to their first bytes than predicted: of those with
- * prompts of 20,000 to 65,000 tokens nine in ten took at most 1.15 times the middle.
+ * Share by which the first event of a request may come later than predicted: of the requests
+ * with prompts of 20,000 to 65,000 tokens, nine in ten took at most 1.15 times the median.
  */
 const REQUEST_RESERVE_SHARE = 0.2;
-/** A stage takes about this times its bare work, before anything was learnt of it. */
+/**
+ * Assumed ratio of a stage's duration, queueing included, to its work, until it is
+ * learned.
+ */
 const USUAL_QUEUEING = 1.5;
 
-/** The stages that one request needs. */
+/** Input of RequestStages. */
 export interface RequestStagesInput {
   readonly requestId: string;
   readonly route: Route;
-  /** How the upstreams of each stage work, where it is known. */
+  /** Capacity of the upstreams of each stage; undefined if it is not known. */
   readonly capacities: readonly (StageCapacity | undefined)[];
-  /** Pieces of each stage; 0 leaves a stage out. */
+  /** Pieces of each stage; a stage with 0 is skipped. */
   readonly pieceCounts: readonly number[];
-  /** What pieces without inputs are made from. */
+  /** Source data of pieces without inputs. */
   readonly key: string | undefined;
+  /** Milliseconds until the request's objective. */
   readonly dueInMs: number;
+  /** Milliseconds until the request is given up. */
   readonly remainingMs: number;
   readonly priority: number;
-  /** Whether stages with large results start as late as the request allows. */
+  /** Whether stages with large results start as late as their slack allows. */
   readonly defersLargeStages: boolean;
-  /** Whether the caller has the time to come back. */
+  /** Whether the caller has time for a retry. */
   readonly mayRetry: boolean;
   /** Tokens of the prompt that no other request shares. */
   readonly ownTokens: number;
-  /** Whether upstreams crashed under the request, so that no other shares its calls. */
+  /**
+   * Whether upstreams crashed while they ran the request, so that its calls are not
+   * shared.
+   */
   readonly isIsolated: boolean;
 }
 
-/** A stage has no results. */
+/** A stage failed. */
 export class StageError extends HollowstackError {
   readonly failure: StageFailure;
-  /** Calls whose connection broke, as their upstreams may have crashed under them. */
+  /** Calls whose connection broke; the request may have crashed their upstreams. */
   readonly brokenCalls: readonly BrokenCall[];
 
   constructor(
@@ -75,23 +82,26 @@
   }
 }
 
-/** Results that the request itself reads. */
+/** Results of the stages that no other stage reads; the request itself reads them. */
 export interface FinalStageResults {
   readonly results: readonly StageResult[];
-  /** Bytes that lie in each failure domain. */
+  /** Bytes stored in each failure domain. */
   readonly bytesByDomain: ReadonlyMap<string, number>;
 }
 
-/** Runs the stages of one request in their order, and gives back what they made. */
+/** Runs the stages of one request in dependency order and releases their results. */
 export class RequestStages {
   private readonly input: RequestStagesInput;
   private readonly dispatcher: StageDispatcher;
   private readonly clock: Clock;
-  /** Learns how long each stage of a route takes, queueing included. */
+  /** Learns the duration of each stage of a route, queueing included. */
   private readonly durations: DurationEstimator;
   private readonly startedAtMs: number;
   private failureDomain: string | undefined;
-  /** Milliseconds that the request itself takes, as the coordinator says. */
+  /**
+   * Milliseconds from the end of the stages to the first event, as the coordinator
+   * predicts.
+   */
   private firstMs: number | undefined;
   private stageStartsMs: Array<number | undefined> = [];
   private areDone: boolean[] = [];
@@ -114,10 +124,10 @@
   }
 
   /**
-   * Asks whether the stages may begin.
+   * Asks the coordinator whether the stages may start.
    *
-   * @returns Milliseconds to the first bytes of the answer, as predicted.
-   * @throws HollowstackError where they cannot be in time.
+   * @returns Predicted milliseconds until the first event of the answer.
+   * @throws HollowstackError if the request is not admitted.
    */
   async admit(): Promise<number> {
     const {input} = this;
@@ -160,10 +170,10 @@
   }
 
   /**
-   * Runs all stages and resolves with the results that no other stage reads.
-   * Results that were lost underway are made again, once.
+   * Runs all stages and resolves with the results that no other stage reads. If results of a
+   * stage are lost before they are read, all stages run once more.
    *
-   * @throws HollowstackError where a stage has no results.
+   * @throws HollowstackError if a stage fails.
    */
   async run(signal: AbortSignal): Promise<FinalStageResults> {
     try {
@@ -204,7 +214,7 @@
     return {results, bytesByDomain};
   }
 
-  /** Notes how long the request itself took to its first bytes, its stages done. */
+  /** Records the time from the end of the stages to the first event of the request. */
   recordFirstEvent(firstMs: number): void {
     this.durations.recordMs(this.createRequestKey(), firstMs);
   }
@@ -218,14 +228,14 @@
     return `${this.input.route.name}/request`;
   }
 
-  /** Renders how long each stage took from its submission, for the log. */
+  /** Renders the duration of each stage since its submission, for the log. */
   renderDurations(): string {
     return this.input.route.stages
       .map((_, index) => `${index}:${this.tookMs[index] ?? '-'}`)
       .join(' ');
   }
 
-  /** Gives back all results that are left; once the request has read them. */
+  /** Releases all remaining results; called once the request has read them. */
   releaseAll(): void {
     this.dispatcher.releaseResults([...this.unreleased.values()].flat());
     this.unreleased.clear();
@@ -296,11 +306,11 @@
         resultBytes: stage.resultBytes,
         dueInMs: input.dueInMs - passedMs - tailMs,
         reserveMs: this.predictRequestMs() * REQUEST_RESERVE_SHARE,
-        // What cannot be read any more need not be made.
+        // Results that would come too late to be read need not be produced.
         remainingMs: input.remainingMs - passedMs - tailMs,
         priority: input.priority,
         failureDomain: chooseFailureDomain(inputs) ?? ownDomain,
-        // Each piece reads all inputs.
+        // Every piece reads all inputs.
         crossingBytes:
           inputs.length > 0
             ? inputBytes * pieceCount
@@ -316,8 +326,8 @@
     );
   }
 
-  // Large results occupy their makers from the start of their call until the
-  // request has read them, so a stage that others will outlast is put off.
+  // Large results occupy memory at their upstream from the start of the call until the request
+  // has read them, so a stage with slack is deferred.
   private async waitForLatestStart(
     index: number,
     signal: AbortSignal,
@@ -374,7 +384,7 @@
     return (this.input.pieceCounts[index] ?? 0) > 0;
   }
 
-  // What is still to be done behind a stage, at its best.
+  // Computes the minimum time from the end of a stage to the first event of the request.
   private computeTailMs(index: number): number {
     const readers = this.listReaders(index);
     if (readers.length === 0) return this.predictRequestMs();
--- a/packages/stages/src/result-memory.ts
+++ b/packages/stages/src/result-memory.ts
@@ -1,35 +1,35 @@
 import type {OwnedResult, ResultOwner} from '@hollowstack/types';
 
-/** A result that its upstream holds. */
+/** A result stored at an upstream. */
 export interface StoredResult {
   readonly upstreamId: string;
-  /** Address of that upstream. */
+  /** Address of the upstream. */
   readonly address: string;
   readonly failureDomain: string;
-  /** Who reads it; undefined where the job did not say. */
+  /** The instance that reads the result; undefined if the job did not name it. */
   readonly owner: ResultOwner | undefined;
   readonly service: string;
   readonly bytes: number;
-  /** When its call began: from then on it takes room. */
+  /** Start of the call; memory is reserved from then on. */
   readonly reservedAtMs: number;
-  /** When its upstream drops it. */
+  /** When the upstream discards the result. */
   readonly expiresAtMs: number;
 }
 
 /**
- * Accounts for the room that results take at their upstreams: reserved from
- * before their call, held until they are released or run out.
+ * Accounts for the result memory of upstreams. Memory is reserved before a call and stays in
+ * use until the result is released or expires.
  */
 export class ResultMemory {
   private readonly held = new Map<string, StoredResult>();
   private readonly used = new Map<string, number>();
 
-  /** Returns the bytes reserved and held at an upstream. */
+  /** Returns the reserved and stored bytes at an upstream. */
   getUsedBytes(upstreamId: string): number {
     return this.used.get(upstreamId) ?? 0;
   }
 
-  /** Returns the bytes of results that the upstreams of a service hold. */
+  /** Counts the bytes of stored results of a service, reservations excluded. */
   countStoredBytes(service: string): number {
     let sum = 0;
     for (const result of this.held.values()) {
@@ -38,27 +38,27 @@
     return sum;
   }
 
-  /** Reserves room for the results of a call. */
+  /** Reserves memory for a result before its call. */
   reserve(upstreamId: string, bytes: number): void {
     this.used.set(upstreamId, this.getUsedBytes(upstreamId) + bytes);
   }
 
-  /** Gives up room that was reserved and not turned into a result. */
+  /** Cancels a reservation whose call brought no result. */
   cancelReservation(upstreamId: string, bytes: number): void {
     this.removeBytes(upstreamId, bytes);
   }
 
-  /** Turns a reservation into a held result. */
+  /** Converts a reservation to a stored result. */
   recordResult(handle: string, result: StoredResult): void {
     this.held.set(handle, result);
   }
 
-  /** Returns the upstream that holds a result, if it is known. */
+  /** Returns the id of the upstream that stores a result; undefined if it is not known. */
   findUpstreamId(handle: string): string | undefined {
     return this.held.get(handle)?.upstreamId;
   }
 
-  /** Lists the results of which is known who reads them, the oldest first. */
+  /** Lists the stored results whose owner is known, oldest first. */
   listOwned(): OwnedResult[] {
     return [...this.held].flatMap(([handle, held]) => {
       const {owner, address, failureDomain} = held;
@@ -66,7 +66,7 @@
     });
   }
 
-  /** Notes that a result was released; returns it if it was held. */
+  /** Frees the memory of a result and returns it; undefined if it is not known. */
   release(handle: string): StoredResult | undefined {
     const result = this.held.get(handle);
     if (!result) return undefined;
@@ -75,14 +75,14 @@
     return result;
   }
 
-  /** Forgets the results that their upstreams no longer keep. */
+  /** Removes results that have expired at their upstreams. */
   removeExpired(nowMs: number): void {
     for (const [handle, {expiresAtMs}] of this.held) {
       if (expiresAtMs <= nowMs) this.release(handle);
     }
   }
 
-  /** Forgets everything about an upstream that is gone. */
+  /** Removes the results and reservations of an upstream that no longer exists. */
   removeUpstream(upstreamId: string): void {
     for (const [handle, result] of this.held) {
       if (result.upstreamId === upstreamId) this.held.delete(handle);
--- a/packages/stages/src/result-releaser.ts
+++ b/packages/stages/src/result-releaser.ts
@@ -7,23 +7,23 @@
   readonly clock: Clock;
   readonly caller: Pick<StageCaller, 'releaseResults'>;
   /**
-   * Returns milliseconds for which the upstream at an address wants nothing, 0 where
-   * it may be called; undefined where it leaves with all that it keeps.
+   * Returns the remaining back-off in milliseconds of the upstream at an address, 0 if it may
+   * be called; undefined if it is leaving, which discards its results.
    */
   readonly getWaitMs: (address: string) => number | undefined;
   /**
-   * Returns the milliseconds over which releases at an address are gathered; undefined
-   * if its upstream advertises no limit.
+   * Returns the milliseconds over which releases at an address are collected; undefined if its
+   * upstream advertises no limit.
    */
   readonly getGatherMs?: (address: string) => number | undefined;
-  /** Called once an upstream has given the room up, or takes its results along. */
+  /** Called once an upstream has been asked to release results, or if it is leaving. */
   readonly handleReleased: (handles: readonly string[]) => void;
 }
 
-/** Milliseconds over which results are gathered before they are given back. */
+/** Default time over which releases are collected before they are sent. */
 const GATHER_MS = 40;
 
-/** Gives results back, those of one upstream together. */
+/** Releases results in batches, one per upstream address. */
 export class ResultReleaser {
   private readonly parts: ResultReleaserParts;
   private readonly pending = new Map<string, string[]>();
@@ -32,6 +32,7 @@
     this.parts = parts;
   }
 
+  /** Schedules the release of results. */
   addResults(results: readonly StageResult[]): void {
     for (const {address, handle} of results) {
       const handles = this.pending.get(address);
@@ -49,7 +50,8 @@
     this.parts.clock.schedule(delayMs, () => this.releaseDue(address));
   }
 
-  // An upstream that wants no work has no use for the room meanwhile.
+  // The release waits for the end of a back-off: the upstream takes no work until then, so it
+  // does not need the memory.
   private releaseDue(address: string): void {
     const {caller, getWaitMs, handleReleased} = this.parts;
     const waitMs = getWaitMs(address);
--- a/packages/stages/src/service-times.ts
+++ b/packages/stages/src/service-times.ts
@@ -1,71 +1,76 @@
-/** Items of one kind in a call. */
+/** The pieces of one stage in a call. */
 export interface CallShare {
-  /** Names the stage of a route that the items belong to. */
+  /** Identifies the route and stage of the pieces. */
   readonly stageKey: string;
   readonly itemCount: number;
-  /** Milliseconds an item takes by the configuration, which knows the service alone. */
+  /**
+   * Configured milliseconds per piece; the configuration sets one value for each service.
+   */
   readonly configuredMs: number;
 }
 
-/** A call whose time was seen. */
+/** A completed call with its duration. */
 export interface TimedCall {
   readonly service: string;
-  /** Most items that a call of the service can have. */
+  /** Maximum pieces in a call of the service. */
   readonly batchSize: number;
   readonly shares: readonly CallShare[];
-  /** Milliseconds that it was expected to take. */
+  /** Predicted duration of the call. */
   readonly expectedMs: number;
-  /** Milliseconds that it took, or would have at an upstream of usual speed. */
+  /** Duration of the call, scaled to an upstream of median speed. */
   readonly tookMs: number;
 }
 
-/** Weight of the newest call in what calls and items take; some ten calls settle it. */
+/** Weight of the newest call in the learned durations; they converge in about ten calls. */
 const LEARNING_RATE = 0.2;
-/** Bounds of what is learnt, as factors of the configured time. */
+/** Lower bound of the learned duration of a piece, as a factor of the configured one. */
 const MIN_FACTOR = 0.1;
-/** Upper bound of what is learnt, as a factor of the configured time. */
+/** Upper bound of the learned duration of a piece, as a factor of the configured one. */
 const MAX_FACTOR = 3;
 /**
- * Most milliseconds by which the fixed part of calls differs from the configured one:
- * connections, round trips and waits for the processor, not work.
+ * Maximum difference between the learned and the configured fixed duration of a call. It
+ * covers connections, round trips and scheduling delays, not work.
  */
 const MAX_OVERHEAD_MS = 100;
 /**
- * Weight of the fixed part of a call against the items of a full one when an error is
- * parted: what is not known of it is some tens of milliseconds, of the items hundreds.
+ * Weight of the fixed duration of a call, relative to the pieces of a full call, when a
+ * prediction error is attributed: the fixed part is uncertain by tens of milliseconds, the
+ * pieces by hundreds.
  */
 const OVERHEAD_WEIGHT = 0.1;
-/** Weight of the newest call in the fill of a service's calls. */
+/** Weight of the newest call in the fill ratio of a service. */
 const FILL_WEIGHT = 0.1;
-/** Share of a batch that calls are filled to, before anything was learnt. */
+/** Assumed fill ratio until calls under load have been recorded. */
 const USUAL_FILL = 0.8;
 
 /**
- * What the calls of stages take, learnt from those that were made. The
- * configuration gives one time an item for a service; stages of several routes
- * that share it may take a fraction of that, and each call has some time of its own.
+ * Durations of stage calls, learned from completed calls. The configuration gives one duration
+ * per piece for each service, but stages of several routes that share a service may take a
+ * fraction of it, and each call has a fixed duration as well.
  */
 export class ServiceTimes {
   private readonly itemMs = new Map<string, number>();
   private readonly overheadMs = new Map<string, number>();
   private readonly fills = new Map<string, number>();
 
-  /** Returns milliseconds that a call of a service takes beside its items. */
+  /** Returns the fixed milliseconds of a call, in addition to those of its pieces. */
   getCallMs(service: string, configuredMs: number): number {
     return configuredMs + (this.overheadMs.get(service) ?? 0);
   }
 
-  /** Returns milliseconds that one item of a stage takes. */
+  /** Returns the milliseconds of one piece of a stage. */
   getItemMs(stageKey: string, configuredMs: number): number {
     return this.itemMs.get(stageKey) ?? configuredMs;
   }
 
-  /** Returns the share of a batch that calls of a service are filled to under load. */
+  /**
+   * Returns the mean ratio of pieces to the batch size in calls of a service under load.
+   */
   getFillRatio(service: string): number {
     return this.fills.get(service) ?? USUAL_FILL;
   }
 
-  /** Computes milliseconds that the items of a call take. */
+  /** Computes the milliseconds of all pieces of a call, without its fixed duration. */
   computePiecesMs(shares: readonly CallShare[]): number {
     return shares.reduce(
       (sum, {stageKey, itemCount, configuredMs}) =>
@@ -75,10 +80,10 @@
   }
 
   /**
-   * Notes what one call took, by a normalized least-mean-squares step over its fixed
-   * part and its items. Items count by their share of a full call: a call of one item
-   * says next to nothing of items, and its few milliseconds of its own, taken for its
-   * item's, made full calls look 1.4 times as long as they were.
+   * Learns from one call by a normalized least-mean-squares step over its fixed duration and
+   * its pieces. Pieces are weighted by their share of a full call: a call with one piece
+   * reveals little about the duration of pieces, and when its fixed overhead was attributed
+   * to the piece, predictions for full calls were 1.4 times too long.
    */
   recordCall({
     service,
@@ -108,7 +113,7 @@
     });
   }
 
-  /** Notes how full a call was that left work of its service waiting. */
+  /** Records the fill ratio of a call that left pieces of its service waiting. */
   recordFillRatio(service: string, fill: number): void {
     const before = this.getFillRatio(service);
     this.fills.set(service, before + (fill - before) * FILL_WEIGHT);
--- a/packages/stages/src/stage-admission.ts
+++ b/packages/stages/src/stage-admission.ts
@@ -12,7 +12,7 @@
   type WorkAhead,
 } from './pending-work-table.ts';
 
-/** What admission asks of the upstreams of the stage services. */
+/** The part of StageFleet that admission uses. */
 export type AdmissionFleet = Pick<
   StageFleet,
   | 'getCapacity'
@@ -27,65 +27,72 @@
 export interface StageAdmissionParts {
   readonly clock: Clock;
   readonly fleet: AdmissionFleet;
-  /** What calls take, as learnt. */
+  /** Learned durations of calls. */
   readonly times: ServiceTimes;
-  /** Draws from 0 to below 1; spreads the returns of those that are refused. */
+  /** Returns a random number from 0 to below 1; spreads the retries of refused requests. */
   readonly random: () => number;
 }
 
-/** Whether a request may begin its stages. */
+/** Whether a request may start its stages. */
 export interface StageAdmissionDecision {
   readonly isAdmitted: boolean;
+  /** Predicted milliseconds until the first event of the answer. */
   readonly predictedMs: number;
   /**
-   * Milliseconds that the request takes to its first bytes once its stages are done, as
-   * all instances have seen; undefined where that is not known.
+   * Predicted milliseconds from the end of the stages to the first event, learned from the
+   * reports of all instances; undefined if the request is refused or no coordinator answered.
    */
   readonly firstMs?: number;
-  /** Milliseconds after which to come back; set where it is not admitted. */
+  /** Milliseconds after which to retry; 0 if the request is admitted. */
   readonly retryAfterMs: number;
-  /** Why it is not admitted, where that is another reason than time. */
+  /** Why the request is refused, if not for lack of time. */
   readonly reason?: string;
 }
 
-/** What is added to the priority of requests that can no longer be in time. */
+/**
+ * Added to the priority of requests that can no longer be in time; 0 is the most urgent.
+ */
 const LATE_STEP = 1000;
 /**
- * Share of the time left in which a late request must be predicted to begin its
- * answer: requests in time that are still to come go before it, and callers
- * leave a silent stream before their time is over. Without any bound
- * late requests were held to their end in overload: 0.543 of worth for 0.580 with
- * it (mean of five played days, one score each).
+ * Share of the remaining time within which a late request must be predicted to begin its
+ * answer: later requests that can be in time go before it, and callers abandon a stream
+ * without events before their time is over. Without this bound late requests were held until
+ * their deadline in overload, and the benchmark score fell from 0.580 to 0.543 (mean of five
+ * simulated days).
  */
 const LATE_SHARE = 0.4;
 /**
- * Factor of the waits in a prediction, since they are what it is wrong about: half of the
- * requests wait longer. A chain of stages that works for 0.55 of its time is let in up to
- * a prediction of 0.9 of it, one with a large prompt that works for 0.85 up to 0.97: a
- * refusal would cost it its only chance, since what it loses by coming back it no longer
- * has.
+ * Safety factor on the predicted waits, which are the uncertain part of a prediction: half of
+ * the requests wait longer than predicted. Only waits are scaled, so a chain of stages whose
+ * work takes 0.55 of its time is admitted up to a prediction of 0.9 of that time, and one with
+ * a large prompt whose work takes 0.85 of it up to 0.97: the latter has no time left for a
+ * retry, so a refusal would take its only chance.
  */
 const WAIT_MARGIN = 1.3;
 /**
- * Share of the time left that waiting for others must take before a request is refused
- * for it; below that another moment is no better.
+ * Minimum share of the time until its objective that a request must spend waiting for others
+ * to be refused; with a shorter wait a retry would do no better.
  */
 const MIN_HOLDUP_SHARE = 0.1;
-/** A result is held for about this many calls' fixed time, before it was learnt. */
+/**
+ * Assumed retention of a result, in multiples of a call's fixed duration, until it is
+ * learned.
+ */
 const USUAL_HOLD_CALLS = 4;
 /**
- * Shares of its time left after which a refused request comes back, drawn evenly between
- * them. Callers heed a third of it. Waits that are too long now stay so for as long as
- * more comes than can be done, which is seconds; a caller that comes back sooner is refused
- * again, and one that is let in then is late and takes the room of another that would
- * not be. With 0.4 s and more for all, a kind of request that is refused in bursts
- * was refused for good 261 times of 3,040, with these shares 57 to 84 times (five runs).
+ * Bounds of the retry delay as shares of the remaining time; the delay is drawn uniformly
+ * between them. Callers wait for only about a third of it. Overload lasts for seconds, so a caller
+ * that retries sooner is refused again, or is admitted late and takes the capacity of a
+ * request that would be in time. With a delay of 0.4 s or more for all requests, a class of
+ * requests that is refused in bursts was finally refused 261 times out of 3,040, with these
+ * shares 57 to 84 times (five runs).
  */
 const RETRY_SHARES = {least: 0.2, most: 0.3} as const;
 
 /**
- * Decides whether a request's stages can be done in time. One that cannot, and
- * has time to come back, is told so at once and when; one that has not goes on.
+ * Decides whether the stages of a request can be done in time. A request that would be late
+ * is refused at once, with a retry delay, if its caller has time for a retry. Otherwise it is
+ * admitted with a lower priority, unless too little time would be left to serve it.
  */
 export class StageAdmission {
   private readonly parts: StageAdmissionParts;
@@ -99,6 +106,7 @@
     this.firstTimes = new FirstEventTimes(parts.clock);
   }
 
+  /** Decides on a request and, if it is admitted, records its pending work. */
   judge(request: StageAdmissionRequest): StageAdmissionDecision {
     const aloneMs = this.predictAloneMs(request);
     const shortage = this.findShortage(request);
@@ -117,8 +125,8 @@
     if (request.mayComeBack && request.dueInMs > 0) {
       return createRefusal(request, predictedMs, this.parts.random());
     }
-    // Late in any case: it goes behind those that can be in time, if that
-    // leaves it the time to be served at all.
+    // The request is late in any case. It is admitted behind those that can be in time if
+    // enough time is left to serve it.
     const behind = {...request, priority: request.priority + LATE_STEP};
     const behindMs = this.predictMs(behind);
     if (behindMs > request.remainingMs * LATE_SHARE) {
@@ -128,9 +136,9 @@
   }
 
   /**
-   * Notes how long a request took to its first bytes once its stages were done.
-   * All instances tell it here: one of 200 sees a route's request every second
-   * or two, too few to learn from.
+   * Records the time from the end of a request's stages to its first event. All instances
+   * report it to the coordinator: one of 200 instances has a request of a route only every
+   * second or two, too few to learn from.
    */
   recordFirstEvent(requestId: string, firstMs: number): void {
     const request = this.admitted.get(requestId);
@@ -138,7 +146,7 @@
     this.firstTimes.recordFirstEvent(request.route, request.ownTokens, firstMs);
   }
 
-  /** Notes that a step of a request waits for calls, or that all of it is in calls. */
+  /** Records whether pieces of a step still wait for calls or all are in flight. */
   recordPhase(
     service: string,
     requestId: string,
@@ -148,12 +156,12 @@
     this.ledger.setPhase(service, requestId, step, phase);
   }
 
-  /** Notes that a step of a request is done. */
+  /** Removes the pending work of a step that is done. */
   recordDone(service: string, requestId: string, step: number): void {
     this.ledger.removeStep(service, requestId, step);
   }
 
-  /** Notes that nothing more is to be done for a request. */
+  /** Removes all pending work of a request. */
   recordEnded(requestId: string): void {
     const request = this.admitted.get(requestId);
     this.admitted.delete(requestId);
@@ -168,7 +176,7 @@
     for (const id of [...this.admitted.keys()]) this.recordEnded(id);
   }
 
-  // The one that lasts longest; one without a known end before all others.
+  // Finds the unavailability that lasts longest; one without a known end counts as longest.
   private findShortage({
     steps,
   }: StageAdmissionRequest): Unavailability | undefined {
@@ -204,10 +212,11 @@
     return stagesMs + this.predictFirstMs(request);
   }
 
-  // What a large prompt takes beyond a usual one. Where requests are refused for want of
-  // room, those with large prompts are refused no more often than others: their stages
-  // are due so much earlier, and go first. Counted here as well, the largest tenth of a
-  // kind was refused 1.6 times as often as the rest.
+  // Computes how much longer a large prompt takes than a mean one. The extra time is left out
+  // of the decision: under overload, requests with large prompts should be refused no more
+  // often than others, and their stages are due earlier by the same amount and go first. With
+  // the extra time included, the largest tenth of a class was refused 1.6 times as often as
+  // the rest.
   private computeExtraMs(request: StageAdmissionRequest): number {
     const {route, requestMs} = request;
     const usualMs = this.firstTimes.predictMeanMs(route, requestMs);
@@ -259,7 +268,8 @@
     };
   }
 
-  // Upstreams and their result memory are two resources; the scarcer one decides.
+  // Upstreams and their result memory are separate resources; the scarcer one determines the
+  // wait.
   private computeWaitMs(
     service: string,
     priority: number,
@@ -274,8 +284,7 @@
     return Math.max(callsMs, this.computeMemoryWaitMs(service, resultBytes));
   }
 
-  // Memory that is full frees at the rate of its size over the time that
-  // results are held.
+  // Full memory is freed at a rate of its size divided by the retention time of results.
   private computeMemoryWaitMs(service: string, bytesAhead: number): number {
     const {fleet} = this.parts;
     const callMs = fleet.getCapacity(service)?.callMs ?? 0;
@@ -290,8 +299,8 @@
   return waitMs;
 }
 
-// A request that is late by its own size alone would be so later as well: refusing it
-// serves nobody.
+// Whether waiting for others makes the request late. A request that is late by its own size
+// alone would also be late on a retry, so a refusal would not help.
 function isHeldUp({dueInMs}: StageAdmissionRequest, waitMs: number): boolean {
   return dueInMs <= 0 || waitMs > dueInMs * MIN_HOLDUP_SHARE;
 }
--- a/packages/stages/src/stage-call-log.ts
+++ b/packages/stages/src/stage-call-log.ts
@@ -3,7 +3,7 @@
 import type {InFlightPiece} from './job-state.ts';
 import type {PieceFailure, PieceOutcome} from './stage-protocol.ts';
 
-/** An answered call, as logs and metrics tell of it. */
+/** An answered call, as reported in logs and metrics. */
 export interface AnsweredCall {
   readonly service: string;
   readonly upstreamId: string;
@@ -11,12 +11,12 @@
   readonly outcomes: readonly PieceOutcome[];
   readonly tookMs: number;
   readonly expectedMs: number;
-  /** Bytes of result memory reserved and held at the upstream. */
+  /** Reserved and stored bytes of result memory at the upstream. */
   readonly usedBytes: number;
   readonly waitingJobs: number;
 }
 
-/** Tells logs and metrics of a call that was answered. */
+/** Logs an answered call and records its metrics. */
 export function logAnsweredCall(
   call: AnsweredCall,
   logger: EventLogger,
--- a/packages/stages/src/stage-caller.ts
+++ b/packages/stages/src/stage-caller.ts
@@ -14,31 +14,25 @@
   StageProtocol,
 } from './stage-protocol.ts';
 
-/**
- * Milliseconds for a connection to stand; some hundred round trips within a
- * region.
- */
+/** Timeout for connection setup; about a hundred round trips within a region. */
 const CONNECT_TIMEOUT_MS = 400;
-/**
- * Bytes of an answer, at most; names of results take some tens of bytes
- * each.
- */
+/** Maximum size of an answer; each result handle takes some tens of bytes. */
 const MAX_ANSWER_BYTES = 1024 * 1024;
-/** Milliseconds for a release to be answered; nobody waits for it. */
+/** Timeout of a release, which no request waits for. */
 const RELEASE_TIMEOUT_MS = 1000;
 
-/** Which upstream a call goes to. */
+/** The upstream of a call. */
 export interface StageTarget {
   readonly id: string;
   readonly service: string;
   readonly address: string;
 }
 
-/** What a failed call shows of its upstream. */
+/** What a failed call reveals about its upstream. */
 export interface StageCallErrorDetails {
-  /** Whether the upstream proved that it does not take calls. */
+  /** Whether the upstream did not accept the call or did not answer in time. */
   readonly isUnreachable: boolean;
-  /** Whether the connection ended under the call, as it does where the upstream crashes. */
+  /** Whether the connection broke during the call, as it does if the upstream crashes. */
   readonly isConnectionLost: boolean;
 }
 
@@ -47,7 +41,7 @@
   isConnectionLost: false,
 };
 
-/** Why a call brought no readable answer. */
+/** A call ended without a readable answer. */
 export class StageCallError extends Error {
   readonly details: StageCallErrorDetails;
 
@@ -65,7 +59,7 @@
   readonly signals: Pick<UpstreamSignals, 'recordAnswer'>;
 }
 
-/** Calls upstreams for pieces, and gives results back. */
+/** Sends calls and releases of results to upstreams. */
 export class StageCaller {
   private readonly parts: StageCallerParts;
   private readonly controller = new AbortController();
@@ -75,11 +69,11 @@
   }
 
   /**
-   * Asks an upstream for pieces.
+   * Sends a call with a batch of pieces to an upstream.
    *
-   * @param mayStillSend Asked before the first byte leaves.
-   * @param timeoutMs Milliseconds for the whole answer.
-   * @throws StageCallError where no readable answer came.
+   * @param mayStillSend Called right before the first byte is sent; false cancels the call.
+   * @param timeoutMs Timeout for the complete answer.
+   * @throws StageCallError if no answer could be read.
    */
   async runPieces(
     target: StageTarget,
@@ -110,7 +104,7 @@
       });
       return protocol.parseRunAnswer(answer, pieces.length);
     } catch (error) {
-      // Kept back by this side, which says nothing against the upstream.
+      // This instance cancelled the send, so the upstream is not at fault.
       if (isWithdrawn) return {type: 'not-run', isOtherUpstream: false};
       const message = error instanceof Error ? error.message : String(error);
       throw new StageCallError(message, {
@@ -120,7 +114,10 @@
     }
   }
 
-  /** Tells an upstream that results are no longer needed; a failure only costs room. */
+  /**
+   * Releases results at an upstream; never rejects. After a failure the results occupy memory
+   * until they expire.
+   */
   async releaseResults(
     address: string,
     handles: readonly string[],
@@ -129,7 +126,7 @@
     await this.call(address, request, RELEASE_TIMEOUT_MS).catch(() => {});
   }
 
-  /** Closes the connections of all calls, and makes no more. */
+  /** Closes the connections of all calls; later calls fail. */
   close(): void {
     this.controller.abort(new Error('stopped'));
   }
@@ -157,7 +154,7 @@
   }
 }
 
-// A call that ran out of its time was ended by this side.
+// A call that timed out was ended by this instance, not by the upstream.
 function isLost(error: unknown): boolean {
   if (error instanceof AnswerTimeoutError || isUnreachable(error)) return false;
   return isConnectionLost(error);
--- a/packages/stages/src/stage-coordinator.ts
+++ b/packages/stages/src/stage-coordinator.ts
@@ -33,28 +33,31 @@
   type StageLimiter,
 } from './stage-fleet.ts';
 
-/** What the coordinator works with. */
+/** Dependencies of StageCoordinator. */
 export interface StageCoordinatorParts {
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly metrics: MetricsRegistry;
   readonly caller: Pick<StageCaller, 'runPieces' | 'releaseResults' | 'close'>;
-  /** The upstreams that asked this instance for no work. */
+  /** Back-offs that upstreams have requested from this instance. */
   readonly backOffs: StageBackOffs;
   readonly limiter: StageLimiter;
-  /** Has the view of upstreams refreshed before calls are made by a stale one. */
+  /** Refreshes a stale view of the upstreams before calls are planned. */
   readonly freshnessGuard: Pick<FreshnessGuard, 'isRefreshDue' | 'refresh'>;
-  /** Draws from 0 to below 1. */
+  /** Returns a random number from 0 to below 1. */
   readonly random: () => number;
-  /** Whether inputs are given back while the calls that have read them still work. */
+  /**
+   * Whether inputs are released while the calls that have read them are still in flight.
+   */
   readonly releasesInputsEarly: boolean;
 }
 
-/** Milliseconds between two plans while jobs wait that nothing else wakes. */
+/** Interval between plans while jobs wait; other events trigger a plan earlier. */
 const REPLAN_MS = 20;
+
 /**
- * Gathers the pieces of many requests, from all instances that submit them
- * here, into calls that fill the upstreams' batches.
+ * Batches the pieces of many requests, submitted by all instances, into calls to the
+ * upstreams of the stage services.
  */
 export class StageCoordinator {
   private readonly parts: StageCoordinatorParts;
@@ -113,22 +116,22 @@
     });
   }
 
-  /** Decides whether the stages of a request may begin. */
+  /** Decides whether the stages of a request may start. */
   admitRequest(request: StageAdmissionRequest): StageAdmissionDecision {
     return this.admission.judge(request);
   }
 
-  /** Notes how long a request took to its first bytes once its stages were done. */
+  /** Records the time from the end of a request's stages to its first event. */
   recordFirstEvent(requestId: string, firstMs: number): void {
     this.admission.recordFirstEvent(requestId, firstMs);
   }
 
-  /** Notes that a request needs no more stages. */
+  /** Removes a request that needs no more stages from the pending work. */
   endRequest(requestId: string): void {
     this.admission.recordEnded(requestId);
   }
 
-  /** Takes the stage services of a newer configuration. */
+  /** Applies the stage services of a newer configuration. */
   setConfiguration(table: RouteTable): void {
     this.fleet.setCapacities(
       new Map(
@@ -140,13 +143,13 @@
     this.scheduleCalls();
   }
 
-  /** Takes the upstreams that are registered now. */
+  /** Replaces the set of registered upstreams. */
   setUpstreams(records: readonly RegisteredUpstream[]): void {
     this.fleet.setUpstreams(records);
     this.scheduleCalls();
   }
 
-  /** Takes a job and resolves with what became of it. */
+  /** Queues a job and resolves with its outcome. */
   runJob(job: StageJob): Promise<StageOutcome> {
     return new Promise(resolve => {
       const state = this.jobs.add(job, outcome => {
@@ -158,37 +161,41 @@
     });
   }
 
-  /** Gives a job up; what is still made for it is released. */
+  /** Cancels a job and releases its results, including those of calls in flight. */
   cancelJob(jobId: string): void {
     const state = this.jobs.find(jobId);
     if (!state) return;
     this.jobs.fail(state, 'cancelled', 'the request was given up');
   }
 
-  /** Gives results back to the upstreams that keep them. */
+  /** Releases results at the upstreams that store them. */
   releaseResults(results: readonly StageResult[]): void {
     this.releaser.addResults(results);
   }
 
-  /** Lists the results that are held, and who reads them. */
+  /** Lists the stored results whose owner is known. */
   listOwnedResults(): OwnedResult[] {
     return this.fleet.listOwnedResults();
   }
 
   /**
-   * Gives results back that a coordinator before this one held for instances that are
-   * gone. Addresses that no upstream of stages has any more are left alone.
+   * Releases results that a previous coordinator stored for instances that no longer exist.
+   * Results at addresses without a registered stage upstream are skipped.
    */
   releaseOrphans(results: readonly OwnedResult[]): void {
     const known = results.filter(({address}) => this.fleet.hasAddress(address));
     this.releaseResults(known);
   }
 
-  /** Fails all jobs: after a pause their submitters have gone elsewhere. */
+  /**
+   * Fails all jobs; after a pause of this process their submitters use another
+   * coordinator.
+   */
   failAllJobs(message: string): void {
     this.jobs.failAll(message);
   }
 
+  /** Returns the number of unsettled jobs. */
   getWaitingCount(): number {
     return this.jobs.size;
   }
@@ -271,8 +278,8 @@
     });
   }
 
-  // Calls that leave less than another call's items waiting are as small as the load
-  // is; how full calls can be is seen only where there is more.
+  // If less than a full batch is left waiting, the load limits the size of the calls, so
+  // their fill ratio says nothing about how full calls can get.
   private hasBatchLeft(
     service: string,
     {batchSize}: StageCapacity,
--- a/packages/stages/src/stage-dispatcher.ts
+++ b/packages/stages/src/stage-dispatcher.ts
@@ -19,7 +19,7 @@
 import type {StageAdmissionDecision} from './stage-admission.ts';
 import type {StageCoordinator} from './stage-coordinator.ts';
 
-/** What the dispatcher works with. */
+/** Dependencies of StageDispatcher. */
 export interface StageDispatcherParts {
   readonly clock: Clock;
   readonly logger: EventLogger;
@@ -30,29 +30,25 @@
   readonly local: StageCoordinator;
 }
 
-/** A job without what each submission adds: its name, and who submits it. */
+/** A job without the fields that each submission adds: its id and owner. */
 export type UnsentStageJob = Omit<StageJob, 'jobId' | 'owner'>;
 
-/** Times a job may be submitted: each one that follows finds its coordinator gone. */
+/** Maximum submissions of a job; it is submitted again if its coordinator is gone. */
 const MAX_SUBMISSIONS = 2;
 /**
- * Milliseconds beyond a job's own time in which the coordinator says that it
- * is over.
+ * Added to the remaining time of a job, so that the coordinator can report its deadline.
  */
 const REPLY_MARGIN_MS = 100;
-/** Milliseconds for the coordinator to take a cancellation; nobody waits for it. */
+/** Timeout of a cancellation, which no request waits for. */
 const CANCEL_TIMEOUT_MS = 1000;
-/**
- * Milliseconds to wait for admission; a coordinator that takes longer is
- * done without. Some thirty round trips.
- */
+/** Timeout of admission, after which a request is admitted; about thirty round trips. */
 const ADMIT_TIMEOUT_MS = 100;
-/** Random bytes of the name of a job; no two meet in the life of a fleet. */
+/** Random bytes in a job id; enough to make a collision practically impossible. */
 const JOB_ID_BYTES = 8;
 
 /**
- * Submits jobs to the one instance that coordinates stages. Two coordinators at a
- * time cost full batches, nothing else.
+ * Submits jobs to the instance that coordinates stages. If two instances act as coordinator at
+ * a time, batches are less full, but results stay correct.
  */
 export class StageDispatcher {
   private readonly parts: StageDispatcherParts;
@@ -65,8 +61,8 @@
   }
 
   /**
-   * Asks whether the stages of a request may begin. Without an answer they do:
-   * a coordinator that is gone must not cost more than its knowledge.
+   * Asks the coordinator whether the stages of a request may start. Without an answer the
+   * request is admitted, so that an outage of the coordinator does not refuse requests.
    */
   async admitRequest(
     request: StageAdmissionRequest,
@@ -85,7 +81,7 @@
     return {isAdmitted: true, predictedMs: 0, retryAfterMs: 0};
   }
 
-  /** Tells the coordinator that a request needs no more stages. */
+  /** Notifies the coordinator that a request needs no more stages. */
   endRequest(requestId: string): void {
     const {notes, local, membership} = this.parts;
     const coordinator = chooseCoordinator(membership);
@@ -93,13 +89,16 @@
       local.endRequest(requestId);
       return;
     }
-    // A coordinator that is gone has forgotten the request as well.
+    // A failed notification is ignored: a coordinator that is gone has lost the request as well.
     notes
       .sendNotification(coordinator.address, {type: 'stage-end', requestId})
       .catch(() => {});
   }
 
-  /** Has a job done; rejects with the signal's reason once it aborts. */
+  /**
+   * Runs a job at the coordinator, or at this instance if no coordinator answers. Cancels the
+   * job if the signal aborts.
+   */
   async runJob(
     unsent: UnsentStageJob,
     signal: AbortSignal,
@@ -116,7 +115,7 @@
     return this.runAlone(unsent, startedAtMs, signal);
   }
 
-  // Where no coordinator answers, this instance does without one.
+  // Used if no coordinator answers.
   private runAlone(
     unsent: UnsentStageJob,
     startedAtMs: number,
@@ -141,7 +140,7 @@
     };
   }
 
-  /** Gives results back; a failure only costs room until they run out. */
+  /** Releases results; after a failure they occupy memory until they expire. */
   releaseResults(results: readonly StageResult[]): void {
     if (results.length === 0) return;
     const coordinator = chooseCoordinator(this.parts.membership);
@@ -158,7 +157,7 @@
       .catch(() => this.parts.local.releaseResults(results));
   }
 
-  // Undefined where the coordinator has gone and the job goes to the next one.
+  // Resolves with undefined if the coordinator is gone and the job has to be submitted again.
   private async attemptJob(
     job: StageJob,
     signal: AbortSignal,
--- a/packages/stages/src/stage-fleet.ts
+++ b/packages/stages/src/stage-fleet.ts
@@ -14,16 +14,16 @@
 import type {ServiceTimes} from './service-times.ts';
 import {StageUpstream} from './stage-upstream.ts';
 
-/** Results may be larger than their stage says by this factor; seen on played days. */
+/** Factor by which results may exceed the size configured for their stage. */
 const SIZE_MARGIN = 1.05;
 
-/** What the fleet asks of the upstreams that want no work for a time. */
+/** The part of the back-off table that StageFleet uses. */
 export type StageBackOffs = Pick<
   BackOffTable,
   'maySend' | 'acquireSend' | 'getWaitMs'
 >;
 
-/** The part of the limiter that the fleet uses. */
+/** The part of the send limiter that StageFleet uses. */
 export type StageLimiter = Pick<
   SendLimiter,
   | 'isLimited'
@@ -40,25 +40,27 @@
   readonly clock: Clock;
   readonly backOffs: StageBackOffs;
   readonly limiter: StageLimiter;
-  /** What calls take, as learnt. */
+  /** Learned durations of calls. */
   readonly times: Pick<ServiceTimes, 'getCallMs'>;
 }
 
-/** A result that a job reads, with the upstream that keeps it. */
+/** A result that a job reads, with the upstream that stores it. */
 export interface StoredInput {
   readonly upstreamId: string;
   readonly result: StageResult;
 }
 
 /**
- * Share of an upstream's result memory from which on it counts as short: a call that
- * fills its batch no longer finds room beside what is kept.
+ * Used share of an upstream's result memory from which on the memory counts as short: the
+ * results of a full batch may no longer fit.
  */
 const SHORT_MEMORY_SHARE = 0.5;
-/** Minimum places of a service whose upstreams are all limited; avoids division by 0. */
+/**
+ * Minimum call slots of a service whose upstreams are all limited; avoids division by 0.
+ */
 const MIN_LIMITED_PLACES = 0.01;
 
-/** The upstreams of all stage services, and the result memory that is left at each. */
+/** The upstreams of all stage services and their free result memory. */
 export class StageFleet {
   private readonly clock: Clock;
   private readonly backOffs: StageBackOffs;
@@ -77,12 +79,15 @@
     this.holdTimes = new DurationEstimator(clock);
   }
 
-  /** Replaces what the configuration says of each stage service. */
+  /** Replaces the configured capacity of each stage service. */
   setCapacities(capacities: ReadonlyMap<string, StageCapacity>): void {
     this.capacities = capacities;
   }
 
-  /** Returns how a service works, with the fixed part of its calls as learnt. */
+  /**
+   * Returns the configured capacity of a service with the learned fixed duration of its
+   * calls.
+   */
   getCapacity(service: string): StageCapacity | undefined {
     const configured = this.capacities.get(service);
     if (!configured) return undefined;
@@ -90,7 +95,7 @@
     return {...configured, callMs};
   }
 
-  /** Takes the upstreams that are registered now; what lay at others is lost. */
+  /** Replaces the registered upstreams; the results stored at removed ones are dropped. */
   setUpstreams(records: readonly RegisteredUpstream[]): void {
     const listed = new Set(records.map(({id}) => id));
     for (const id of this.upstreams.keys()) {
@@ -111,8 +116,8 @@
   }
 
   /**
-   * Asked right before the first byte of a call leaves; returns whether the upstream has
-   * not said meanwhile that it leaves or wants no work.
+   * Checks right before the first byte of a call is sent that the upstream still takes work:
+   * it may have started to leave or to back off, or reached its rate limit, since the plan.
    */
   acquireSend(id: string): boolean {
     const upstream = this.upstreams.get(id);
@@ -157,8 +162,8 @@
   }
 
   /**
-   * Returns why no upstream of a service can take work; undefined where one can, or
-   * where no registrations are known yet.
+   * Returns why no upstream of a service can take work; undefined if one can, or if no
+   * registrations are known yet.
    */
   findShortage(service: string): Unavailability | undefined {
     if (this.upstreams.size === 0) return undefined;
@@ -169,8 +174,8 @@
   }
 
   /**
-   * Returns milliseconds for which the upstream at an address still wants nothing;
-   * undefined where it leaves, so that what it keeps need not be released.
+   * Returns the remaining back-off in milliseconds of the upstream at an address; undefined
+   * if it is leaving, so that its results need not be released.
    */
   getReleaseWaitMs(address: string): number | undefined {
     for (const {record} of this.upstreams.values()) {
@@ -193,7 +198,7 @@
     return undefined;
   }
 
-  /** Lists the upstreams of a service that take calls or are at work on one. */
+  /** Lists the upstreams of a service that take calls or have one in flight. */
   listActive(service: string): StageUpstream[] {
     const nowMs = this.clock.getNow();
     return this.listOfService(service).filter(
@@ -201,7 +206,7 @@
     );
   }
 
-  /** Returns how slow the middle one of a service's upstreams is. */
+  /** Returns the median slowness of a service's active upstreams. */
   getMedianSlowness(service: string): number {
     const nowMs = this.clock.getNow();
     const values = this.listActive(service)
@@ -211,7 +216,7 @@
   }
 
   /**
-   * Counts the calls that a service works on at a time, slow and limited upstreams in
+   * Counts the calls that a service can run at a time. Slow and limited upstreams count in
    * part. The minimum is 1 unless all upstreams advertise a limit.
    */
   countPlaces(service: string): number {
@@ -235,7 +240,7 @@
     return Math.min(places, (perSecond * callMs) / 1000);
   }
 
-  /** Counts the bytes of results that the usable upstreams of a service can hold. */
+  /** Counts the bytes of result memory of the usable upstreams of a service. */
   countMemoryBytes(service: string): number {
     const nowMs = this.clock.getNow();
     const bytes = (this.getCapacity(service)?.resultBytes ?? 0) / SIZE_MARGIN;
@@ -245,7 +250,7 @@
     );
   }
 
-  /** Counts the bytes of results that an upstream has room for. */
+  /** Counts the free bytes of an upstream's result memory. */
   countFreeBytes(upstream: StageUpstream): number {
     const {id, service} = upstream.record;
     const bytes = (this.getCapacity(service)?.resultBytes ?? 0) / SIZE_MARGIN;
@@ -253,37 +258,37 @@
     return bytes - this.getUsedBytes(id) - unknown;
   }
 
-  /** Returns the bytes reserved and held at an upstream. */
+  /** Returns the reserved and stored bytes at an upstream. */
   getUsedBytes(upstreamId: string): number {
     return this.room.getUsedBytes(upstreamId);
   }
 
-  /** Counts the bytes of results that a service holds, calls in progress left out. */
+  /** Counts the bytes of stored results of a service, reservations excluded. */
   countHeldBytes(service: string): number {
     return this.room.countStoredBytes(service);
   }
 
-  /** Returns milliseconds for which results of a service are held, as learnt. */
+  /** Returns the learned mean retention of a service's results in milliseconds. */
   getHoldMs(service: string, defaultMs: number): number {
     return this.holdTimes.getMeanMs(service, defaultMs);
   }
 
-  /** Reserves room for a result before its call. */
+  /** Reserves memory for a result before its call. */
   reserveBytes(upstreamId: string, bytes: number): void {
     this.room.reserve(upstreamId, bytes);
   }
 
-  /** Takes a reservation back that did not become a result. */
+  /** Cancels a reservation whose call brought no result. */
   cancelReservation(upstreamId: string, bytes: number): void {
     this.room.cancelReservation(upstreamId, bytes);
   }
 
-  /** Turns a reservation into a held result. */
+  /** Converts a reservation to a stored result. */
   recordResult(handle: string, result: StoredResult): void {
     this.room.recordResult(handle, result);
   }
 
-  /** Finds a result by its handle, if a call of this instance made it. */
+  /** Finds a stored result that a call of this instance produced. */
   findHeldInput(handle: string): StoredInput | undefined {
     const upstreamId = this.room.findUpstreamId(handle);
     const record = this.upstreams.get(upstreamId ?? '')?.record;
@@ -292,7 +297,7 @@
     return {upstreamId: id, result: {handle, address, failureDomain}};
   }
 
-  /** Lists the held results of which is known who reads them, the oldest first. */
+  /** Lists the stored results whose owner is known, oldest first. */
   listOwnedResults(): OwnedResult[] {
     return this.room.listOwned();
   }
@@ -304,14 +309,14 @@
     );
   }
 
-  /** Returns whether the result memory of an upstream is short. */
+  /** Returns whether at least half of an upstream's result memory is in use. */
   isShortOfMemory(upstreamId: string): boolean {
     const record = this.upstreams.get(upstreamId)?.record;
     const bytes = this.getCapacity(record?.service ?? '')?.resultBytes ?? 0;
     return this.getUsedBytes(upstreamId) >= bytes * SHORT_MEMORY_SHARE;
   }
 
-  /** Notes that results were released, and how long they were held. */
+  /** Frees the memory of released results and records their retention. */
   recordReleased(handles: readonly string[]): void {
     const nowMs = this.clock.getNow();
     for (const handle of handles) {
@@ -321,7 +326,7 @@
     }
   }
 
-  /** Forgets the results that their upstreams no longer keep. */
+  /** Removes results that have expired at their upstreams. */
   removeExpired(): void {
     this.room.removeExpired(this.clock.getNow());
   }
--- a/packages/stages/src/stage-protocol.ts
+++ b/packages/stages/src/stage-protocol.ts
@@ -1,63 +1,67 @@
-/** One piece as it is asked of an upstream. */
+/** One independent work item of a stage, as sent to an upstream in a batch. */
 export interface StagePiece {
   readonly requestId: string;
   /** Index of the stage in its route. */
   readonly stage: number;
   /** Index of the piece in its stage. */
   readonly piece: number;
+  /** Milliseconds until the request is given up. */
   readonly remainingMs: number;
-  /** What a piece without inputs is made from. */
+  /** Source data of a piece without inputs. */
   readonly key: string | undefined;
   /** Handles of the results that the piece reads. */
   readonly inputs: readonly string[];
 }
 
-/** Why an upstream did not make a piece. */
+/** Why an upstream did not produce the result of a piece. */
 export type PieceFailure = 'late' | 'input-gone' | 'no-room' | 'failed';
 
-/** What became of one piece. */
+/** The outcome of one piece. */
 export type PieceOutcome =
   | {readonly type: 'made'; readonly handle: string; readonly address: string}
   | {readonly type: 'failed'; readonly failure: PieceFailure};
 
-/** What a call for pieces brought. */
+/** The parsed answer to a call. */
 export type RunAnswer =
   | {readonly type: 'outcomes'; readonly outcomes: readonly PieceOutcome[]}
-  /** The upstream promises that it has not begun. */
+  /**
+   * The upstream guarantees that it has not started the work; `isOtherUpstream` is set if
+   * the answer came from another upstream than the one addressed.
+   */
   | {readonly type: 'not-run'; readonly isOtherUpstream: boolean}
   | {readonly type: 'unreadable'; readonly message: string};
 
-/** A request to an upstream, encoded. */
+/** An encoded request to an upstream. */
 export interface EncodedRequest {
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly headers: readonly string[];
-  /** Absent where the request has no body. */
+  /** Undefined if the request has no body. */
   readonly body: Buffer | undefined;
 }
 
 /** The head and body of an upstream's answer. */
 export interface EncodedAnswer {
   readonly status: number;
-  /** Names in small letters. */
+  /** Keyed by lower-case name. */
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
 }
 
-/** How upstreams are asked for pieces; an adapter gives names and formats. */
+/** The wire format of stage calls; each platform adapter implements it. */
 export abstract class StageProtocol {
-  /** Encodes a call for pieces. */
+  /** Encodes a call that runs a batch of pieces. */
   abstract createRunRequest(
     upstreamId: string,
     address: string,
     pieces: readonly StagePiece[],
   ): EncodedRequest;
 
-  /** Reads the answer to a call for `count` pieces. */
+  /** Parses the answer to a call with `count` pieces. */
   abstract parseRunAnswer(answer: EncodedAnswer, count: number): RunAnswer;
 
-  /** Encodes that results are no longer needed. */
+  /** Encodes a request to release results. */
   abstract createReleaseRequest(
     address: string,
     handles: readonly string[],
--- a/packages/stages/src/stage-timing.ts
+++ b/packages/stages/src/stage-timing.ts
@@ -1,17 +1,17 @@
-/** How far one stage of a request is, for the timing of the others. */
+/** Progress of one stage of a request, from which the slack of the others is computed. */
 export interface StageProgress {
-  /** Indexes of the stages whose results this one reads. */
+  /** Indexes of the stages whose results this stage reads. */
   readonly after: readonly number[];
-  /** Milliseconds that the stage still needs; 0 once it is done or left out. */
+  /** Milliseconds that the stage still needs; 0 if it is done or skipped. */
   readonly remainingMs: number;
 }
 
 /**
- * Computes how much later than now a stage could start without delaying the
- * request: the slack of critical-path scheduling.
+ * Computes how long the start of a stage can be put off without delaying the request: the
+ * slack of critical-path scheduling.
  *
  * @param stages All stages of the request, in the order of its route.
- * @param index The stage in question; the stages before it are done.
+ * @param index The stage to start; the stages that it reads are done.
  * @returns Milliseconds; 0 for a stage on the critical path.
  */
 export function computeSlackMs(
@@ -24,7 +24,7 @@
   return criticalMs - computePathMs(stages, index);
 }
 
-/** Computes milliseconds until a stage is done, the stages before it included. */
+/** Computes milliseconds until a stage is done, including the stages that it reads. */
 function computeFinishMs(
   stages: readonly StageProgress[],
   index: number,
@@ -34,7 +34,10 @@
   return Math.max(0, ...sources) + remainingMs;
 }
 
-/** Computes milliseconds from the start of a stage to the end of its last reader. */
+/**
+ * Computes milliseconds from the start of a stage to the end of its last direct or indirect
+ * reader.
+ */
 function computePathMs(
   stages: readonly StageProgress[],
   index: number,
--- a/packages/stages/src/stage-upstream.ts
+++ b/packages/stages/src/stage-upstream.ts
@@ -16,18 +16,18 @@
 } from '@hollowstack/routing';
 import type {BackOffTable} from '@hollowstack/upstream-signals';
 
-/** Weight of the newest call in the slowness. */
+/** Weight of the newest call in the moving average of the slowness. */
 const SLOWNESS_WEIGHT = 0.3;
 
-/** Milliseconds after which room that was missing is tried again. */
+/** Time for which untracked bytes are assumed to stay in use. */
 const UNKNOWN_ROOM_MS = 400;
 
-/** An upstream of a stage service with what the coordinator knows of it. */
+/** The coordinator's state of one upstream of a stage service. */
 export class StageUpstream {
   record: RegisteredUpstream;
   callsInFlight = 0;
   idleSinceMs = 0;
-  /** The upstream called itself full and named no time; it is left alone until then. */
+  /** End of the pause after the upstream refused a call without naming a retry delay. */
   pausedUntilMs = 0;
   private readonly backOffs: Pick<BackOffTable, 'maySend'>;
   private unknownBytes = 0;
@@ -43,7 +43,7 @@
     this.backOffs = backOffs;
   }
 
-  /** Returns whether calls may go there at all. */
+  /** Returns whether the upstream is registered for work, healthy and not backing off. */
   isUsable(nowMs: number): boolean {
     return (
       isAcceptingWork(this.record) &&
@@ -52,7 +52,7 @@
     );
   }
 
-  /** Returns whether a call may go there now. */
+  /** Returns whether the upstream can take a call now. */
   isFree(nowMs: number, capacity: StageCapacity): boolean {
     return (
       this.isUsable(nowMs) &&
@@ -61,17 +61,23 @@
     );
   }
 
-  /** Returns how long calls take there over what they should. */
+  /**
+   * Returns the ratio of the duration of calls to the expected duration; 1 is normal
+   * speed.
+   */
   getSlowness(nowMs: number): number {
     return this.slowness.getValue(nowMs);
   }
 
-  /** Returns the bytes that results of others take there, as far as was noticed. */
+  /**
+   * Returns the bytes of results that other coordinators appear to have stored at the
+   * upstream.
+   */
   getUntrackedBytes(nowMs: number): number {
     return nowMs < this.unknownUntilMs ? this.unknownBytes : 0;
   }
 
-  /** Notes that the upstream has less room than was reckoned. */
+  /** Records that the upstream has less free result memory than computed. */
   addUntrackedBytes(bytes: number, nowMs: number): void {
     if (bytes <= 0) return;
     this.unknownBytes = this.getUntrackedBytes(nowMs) + bytes;
--- a/packages/stages/src/test-utils/create-coordinator.ts
+++ b/packages/stages/src/test-utils/create-coordinator.ts
@@ -12,7 +12,10 @@
 import {NO_LIMITS} from './no-limits.ts';
 import {ALWAYS_FRESH} from './always-fresh.ts';
 
-/** Milliseconds of a call and of each piece, and pieces in one, of a test's stages. */
+/**
+ * A stage service of a test: fixed milliseconds of a call, milliseconds of a piece, batch
+ * size.
+ */
 export interface TestStage {
   readonly name: string;
   readonly callMs: number;
@@ -20,7 +23,10 @@
   readonly batchSize: number;
 }
 
-/** Creates a coordinator whose upstreams answer as `runPieces` does; calls that may not be sent never reach it. */
+/**
+ * Creates a coordinator whose calls are answered by `runPieces`. Calls that may no longer be
+ * sent do not reach it.
+ */
 export function createTestCoordinator(
   clock: ManualClock,
   stages: readonly TestStage[],
