--- a/packages/stages/src/batch-plan.test.ts
+++ b/packages/stages/src/batch-plan.test.ts
@@ -79,7 +79,7 @@
   ]);
 });
 
-test('free upstreams share what waits', () => {
+test('waiting work is spread over the free upstreams', () => {
   const jobs = [
     createJob('x', {pieceCount: 4}),
     createJob('y', {pieceCount: 4}),
@@ -91,7 +91,7 @@
   ]);
 });
 
-test('a job that is late already goes behind one that can be in time', () => {
+test('a late job is ranked after one that can be in time', () => {
   const jobs = [
     createJob('late', {dueAtMs: 100, pieceCount: 8}),
     createJob('in-time', {dueAtMs: 900, pieceCount: 8}),
@@ -100,7 +100,7 @@
   assert.equal(batch.parts[0].jobId, 'in-time');
 });
 
-test('work that can still be in time goes before late work, and of that the work with inputs goes first', () => {
+test('jobs that can be in time go before late jobs, and late jobs with inputs before those without', () => {
   const late = createJob('late', {dueAtMs: 100, hasInputs: true});
   const fresh = createJob('fresh', {dueAtMs: 1000});
   const next = createJob('next', {dueAtMs: 9000, priority: 9});
@@ -126,7 +126,7 @@
   assert.equal(batch.parts[0].jobId, 'more');
 });
 
-test('jobs are split only while more waits than the calls hold', () => {
+test('jobs are split only while more pieces wait than fit in the calls', () => {
   const jobs = [
     createJob('x', {pieceCount: 6}),
     createJob('y', {pieceCount: 6, dueAtMs: 1001}),
@@ -147,7 +147,7 @@
   );
 });
 
-test('no call is planned whose results would find no room', () => {
+test('no call is planned whose results would exceed the free memory', () => {
   const jobs = [createJob('x', {pieceCount: 3, resultBytes: 400})];
   const [batch] = assembleBatches(createInput(jobs, [createUpstream('u')]));
   assert.deepEqual(batch.parts, [{jobId: 'x', pieceCount: 2}]);
@@ -155,7 +155,7 @@
   assert.deepEqual(assembleBatches(createInput(jobs, full)), []);
 });
 
-test('a job waits a while for an upstream near its large inputs, then goes anywhere', () => {
+test('a job waits a limited time for an upstream in the failure domain of its large inputs', () => {
   const jobs = [createJob('x', {failureDomain: 'b', crossingBytes: 5_000_000})];
   const free = [createUpstream('u', {failureDomain: 'a'})];
   const input = {...createInput(jobs, free), domainsInUse: new Set(['a', 'b'])};
@@ -165,8 +165,8 @@
   assert.equal(assembleBatches(none).length, 1);
 });
 
-test('a job with next to no time to spare takes the upstream that is free, wherever it stands', () => {
-  // 150 ms a call and 10 ms an item.
+test('a job with almost no spare time takes a free upstream in any failure domain', () => {
+  // 150 ms per call and 10 ms per piece.
   const far = {failureDomain: 'b', crossingBytes: 5_000_000};
   const tight = createJob('tight', {...far, dueAtMs: 175});
   const patient = createJob('patient', {...far, dueAtMs: 900});
@@ -182,7 +182,7 @@
   );
 });
 
-test('a free upstream is filled with jobs of other domains while a whole call waits', () => {
+test('a call is filled with jobs of other failure domains while at least a full batch waits', () => {
   const far = {failureDomain: 'b', crossingBytes: 5_000_000, pieceCount: 4};
   const jobs = [
     createJob('far-1', far),
@@ -201,11 +201,11 @@
       capacity: {...input.capacity, batchSize},
     })[0].parts.map(({jobId, pieceCount}) => `${jobId} ${pieceCount}`);
   assert.deepEqual(listParts(20, 100), ['near 2']);
-  assert.deepEqual(listParts(10, 50), ['near 2'], 'they came just now');
+  assert.deepEqual(listParts(10, 50), ['near 2'], 'remote jobs waited briefly');
   assert.deepEqual(listParts(10, 100), ['near 2', 'far-1 4', 'far-2 4']);
 });
 
-test('a slow upstream is left out until others cannot keep up', () => {
+test('a slow upstream is not used until the others cannot keep up', () => {
   const jobs = [createJob('x')];
   const free = [createUpstream('u', {slowness: 4})];
   const input = {...createInput(jobs, free), upstreamsInUse: 3};
@@ -213,7 +213,7 @@
   assert.equal(assembleBatches({...input, nowMs: 300}).length, 1);
 });
 
-test('a job that a slow upstream would make late waits for one of usual speed', () => {
+test('a job that would be late on a slow upstream waits for one of normal speed', () => {
   const slow = createUpstream('slow', {slowness: 4});
   const pressing = createJob('pressing', {dueAtMs: 400, queuedAtMs: -500});
   const patient = createJob('patient', {dueAtMs: 3000, queuedAtMs: -500});
@@ -232,8 +232,8 @@
   assert.equal(only.parts.length, 3);
 });
 
-test('a job with little time to spare gets no more items beside its own than it can wait for', () => {
-  // 150 ms a call and 10 ms an item: done at 170 alone, at 220 with all.
+test('a job with little spare time shares its call with no more pieces than it can wait for', () => {
+  // 150 ms per call and 10 ms per piece: the job ends at 170 alone, at 220 with all jobs.
   const jobs = [
     createJob('tight', {pieceCount: 2, dueAtMs: 185}),
     createJob('short', {pieceCount: 1, dueAtMs: 900}),
@@ -246,11 +246,11 @@
   );
 });
 
-test('what a tight job has in reserve is not used up by the items of others', () => {
+test('the reserve of a job is not used up by pieces of other jobs', () => {
   const others = Array.from({length: 4}, (_, index) =>
     createJob(`other-${index}`, {dueAtMs: 2000, queuedAtMs: -300}),
   );
-  // 150 ms a call and 10 ms an item: five items end at 200.
+  // 150 ms per call and 10 ms per piece: five pieces end at 200.
   const listIds = (reserveMs: number) =>
     assembleBatches(
       createInput(
@@ -263,7 +263,7 @@
   assert.deepEqual(listIds(60), ['tight']);
 });
 
-test('a job that is late in any case, or more work than calls, does not make calls small', () => {
+test('a late job, or more waiting work than fits in the calls, does not limit the size of calls', () => {
   const late = createJob('late', {pieceCount: 2, dueAtMs: 100});
   const next = createJob('next', {pieceCount: 4, dueAtMs: 1000});
   const free = [createUpstream('u')];
--- a/packages/stages/src/early-input-releaser.test.ts
+++ b/packages/stages/src/early-input-releaser.test.ts
@@ -1,6 +1,6 @@
-// The load: more chains of two stages than the first stage's result memory holds. Its
-// results are read by the second stage, 400 ms after they were made, and were kept until
-// that had answered, so that its upstreams stood idle for want of memory.
+// Guards against upstreams that stay idle for lack of result memory. Load: more chains of two
+// stages than the first stage's result memory holds. Its results were stored until the second
+// stage had answered, although that stage reads them at the start of its call.
 import {ManualClock} from '@hollowstack/clock';
 import {SilentEventLogger} from '@hollowstack/logger';
 import {MetricsRegistry} from '@hollowstack/metrics';
@@ -29,18 +29,21 @@
     batchSize: 10,
     callMs: CALL_MS,
     pieceMs: 0,
-    // With the margin that is kept for results that are larger than they should be.
+    // Includes the margin for results that exceed their configured size.
     resultBytes: resultCount * RESULT_BYTES * 1.06,
     resultTtlMs: 4000,
   };
   return {name, stage};
 }
 
-/** Makers and readers of their results; each maker holds some results at most. */
+/**
+ * Creates a chain of two stages: `make` produces results, of which each upstream can store
+ * `memory`, and `read` reads them.
+ */
 function createChain(options: {
   readonly memory: number;
   readonly releasesRead?: boolean;
-  /** Upstreams of each of the two stages. */
+  /** Number of upstreams of each stage. */
   readonly upstreams?: number;
 }) {
   const clock = new ManualClock(0);
@@ -150,7 +153,7 @@
   return (outcome as Extract<StageOutcome, {type: 'made'}>).results;
 }
 
-test('inputs are given back once half of the call that reads them has passed, where memory is short', async () => {
+test('if memory is short, inputs are released after half of the call that reads them', async () => {
   const chain = createChain({memory: 10});
   const inputs = await createInputs(chain, 6);
   const read = chain.coordinator.runJob(createJob('read', 2, inputs));
@@ -166,7 +169,7 @@
   );
 });
 
-test('inputs are kept until the answer where memory is plenty, or others read them too', async () => {
+test('inputs are stored until the answer if memory is sufficient or other stages read them too', async () => {
   for (const [memory, isOnlyReader] of [
     [100, true],
     [10, false],
@@ -186,18 +189,18 @@
   }
 });
 
-test('inputs are kept while items of their job still wait for a call', async () => {
+test('inputs are stored while pieces of their job still wait for a call', async () => {
   const chain = createChain({memory: 10});
   const inputs = await createInputs(chain, 6);
   const read = chain.coordinator.runJob(createJob('read', 12, inputs));
   await chain.clock.advance(190);
-  assert.equal(chain.kept.size, 6, 'two items wait for the second call');
+  assert.equal(chain.kept.size, 6, 'two pieces wait for the second call');
   const outcome = await chain.clock.advanceUntil(read, 1000);
   assert.equal(outcome.type, 'made');
   assert.equal(chain.calls.gone, 0);
 });
 
-test('a call that breaks off after its inputs went ends its job at once, for its stages to run again', async () => {
+test('a call that breaks after its inputs were released fails its job at once, so that the stages run again', async () => {
   const chain = createChain({memory: 10});
   const inputs = await createInputs(chain, 6);
   chain.calls.broken = 1;
@@ -210,7 +213,7 @@
   assert.equal(chain.calls.gone, 0, 'no call is made without inputs');
 });
 
-/** Runs more chains than can be done for some seconds, and counts those that were. */
+/** Runs more chains than the upstreams can serve for 8 s and counts the finished ones. */
 async function countChains(releasesRead: boolean) {
   const chain = createChain({memory: 20, releasesRead, upstreams: 4});
   const {clock, coordinator, calls} = chain;
@@ -232,7 +235,7 @@
   return doneCount;
 }
 
-test('a stage that lacked memory does a quarter more', async () => {
+test('early release of inputs raises the throughput of a stage that lacks memory by a quarter', async () => {
   const before = await countChains(false);
   const after = await countChains(true);
   assert.ok(after >= before * 1.25, `${before} -> ${after}`);
--- a/packages/stages/src/first-event-times.test.ts
+++ b/packages/stages/src/first-event-times.test.ts
@@ -3,14 +3,14 @@
 import {ManualClock} from '@hollowstack/clock';
 import {FirstEventTimes} from './index.ts';
 
-test('a route of which nothing was seen takes what the caller says', () => {
+test('a route without observations is predicted to take the default', () => {
   assert.equal(
     new FirstEventTimes(new ManualClock()).predictMs('r', 5000, 120),
     120,
   );
 });
 
-test('a few requests give a mean, whatever their sizes', () => {
+test('few observations give the mean, regardless of prompt size', () => {
   const times = new FirstEventTimes(new ManualClock());
   times.recordFirstEvent('r', 100, 80);
   times.recordFirstEvent('r', 9000, 120);
@@ -18,9 +18,9 @@
   assert.equal(times.predictMs('r', 50_000, 0), small);
 });
 
-test('prompts of 100 to 50,000 tokens are told apart once some were seen', () => {
+test('predictions depend on the prompt size, from 100 to 50,000 tokens, after enough observations', () => {
   const times = new FirstEventTimes(new ManualClock());
-  // 40 ms and 10 ms a thousand tokens, some of them held up by others.
+  // 40 ms plus 10 ms per thousand tokens; some requests are delayed by others.
   for (let index = 0; index < 200; index++) {
     const tokens = index % 10 === 0 ? 50_000 : 100 + (index % 7) * 900;
     const heldUpMs = index % 5 === 0 ? 30 : 0;
@@ -31,7 +31,7 @@
   assert.equal(times.predictMs('other', 50_000, 120), 120);
 });
 
-test('no size is predicted to take less than nothing, nor larger ones less than small ones', () => {
+test('predictions are never negative and never decrease with the prompt size', () => {
   const times = new FirstEventTimes(new ManualClock());
   for (let index = 0; index < 100; index++) {
     times.recordFirstEvent('r', (index % 10) * 100, 500 - (index % 10) * 50);
@@ -40,7 +40,7 @@
   assert.ok(times.predictMs('r', 0, 0) > 0);
 });
 
-test('what was seen long ago gives way to what the caller says', async () => {
+test('old observations decay towards the default', async () => {
   const clock = new ManualClock();
   const times = new FirstEventTimes(clock);
   times.recordFirstEvent('r', 100, 2000);
--- a/packages/stages/src/learned-call-times.test.ts
+++ b/packages/stages/src/learned-call-times.test.ts
@@ -1,8 +1,8 @@
-// The load: calls of every size, from one item while little waits to full ones in a burst.
-// Before this was mended, what calls were expected to take drifted to 1.4 times what they
-// took within 20 s: how slow an upstream is and what items take were each learnt from what
-// the other left over, and the fixed part of small calls was taken for that of their items.
-// Requests that would have been in time were refused for it.
+// Guards against drift in the expected durations of calls, under which requests that would be
+// in time are refused. Load: calls of every size, from one piece under light load to full
+// batches in bursts. Expected durations drifted to 1.4 times the real ones within 20 s, since
+// the slowness of upstreams and the duration of pieces were each learned from the error of the
+// other, and the fixed duration of small calls was attributed to their pieces.
 import {ManualClock} from '@hollowstack/clock';
 import {
   EventLogger,
@@ -36,7 +36,7 @@
 };
 const UPSTREAMS = ['a', 'b', 'c', 'd', 'e'];
 const SECONDS = 40;
-/** Milliseconds that the jobs have, so that all of them are called for. */
+/** Due time of the jobs; long enough for all of them to be dispatched. */
 const DUE_MS = 1500;
 
 class CallLogger extends EventLogger {
@@ -47,16 +47,19 @@
   }
 }
 
-/** How long calls really take. */
+/** The real durations of calls. */
 interface Truth {
-  /** Milliseconds of a call beside its items. */
+  /** Fixed milliseconds of a call, in addition to those of its pieces. */
   readonly callMs: number;
   readonly itemMs: number;
-  /** How much longer all work takes at each upstream. */
+  /** Factor on the duration of all calls at each upstream. */
   readonly slowness: Readonly<Record<string, number>>;
 }
 
-/** Plays waves of load and returns how expected and real times of late calls compare. */
+/**
+ * Runs waves of load and returns the ratio of expected to real durations of the last
+ * calls.
+ */
 async function runWaves(truth: Truth): Promise<Map<string, number>> {
   const clock = new ManualClock(0);
   const logger = new CallLogger();
@@ -89,7 +92,7 @@
   coordinator.setConfiguration(table as unknown as RouteTable);
   coordinator.setUpstreams(UPSTREAMS.map(createRankUpstream));
   for (let atMs = 0; atMs < SECONDS * 1000; atMs += 20) {
-    // Little for five seconds, then more than the upstreams can do in small calls.
+    // Light load for five seconds, then more than the upstreams can serve in small calls.
     const jobs = Math.floor(atMs / 5000) % 2 === 0 ? 0.3 : 2;
     for (let count = jobs * 2 * random(); count > random(); count--) {
       void coordinator.runJob(
@@ -120,22 +123,22 @@
   }
 }
 
-test('calls are expected to take what they take, though each has some milliseconds of its own', async () => {
+test('expected durations match the real ones if calls have an additional fixed duration', async () => {
   const ratios = await runWaves({callMs: 252, itemMs: 4, slowness: {}});
   checkNear(ratios, 0.95, 1.05);
 });
 
-test('what calls take is learnt where all of them take less than the configuration says', async () => {
+test('expected durations match the real ones if all calls are faster than configured', async () => {
   const ratios = await runWaves({callMs: 240, itemMs: 1.2, slowness: {}});
   checkNear(ratios, 0.95, 1.05);
 });
 
-test('what calls take is learnt where all of them take more than the configuration says', async () => {
+test('expected durations match the real ones if all calls are slower than configured', async () => {
   const ratios = await runWaves({callMs: 260, itemMs: 7, slowness: {}});
   checkNear(ratios, 0.93, 1.05);
 });
 
-test('one upstream that is slower than the others does not change what is expected of them', async () => {
+test('one slow upstream does not change the expected durations of the others', async () => {
   const slowness = {a: 1.6};
   const ratios = await runWaves({callMs: 240, itemMs: 4, slowness});
   ratios.delete('a');
--- a/packages/stages/src/limited-stage.test.ts
+++ b/packages/stages/src/limited-stage.test.ts
@@ -116,7 +116,9 @@
   return Math.max(0, ...counts);
 }
 
-/** Submits jobs of one piece; resolves to how many were submitted and made. */
+/**
+ * Submits jobs of one piece; resolves with the numbers of submitted and successful jobs.
+ */
 async function runLoad(
   {clock, coordinator}: ReturnType<typeof createCoordinator>,
   durationMs: number,
@@ -138,7 +140,7 @@
   return {made, submitted};
 }
 
-test('a limited upstream gets some calls within its limit while the other one serves the rest', async () => {
+test('a limited upstream receives calls within its limit while the other one serves the rest', async () => {
   const setup = createCoordinator(['a']);
   const {made, submitted} = await runLoad(setup, 4 * WINDOW_MS, 40);
   const limited = setup.callsAtMs.get('a')!;
@@ -147,7 +149,7 @@
   assert.ok(made >= 0.98 * (submitted - 15), `${made} of ${submitted}`);
 });
 
-test('when all upstreams are limited, calls use most of the limits and releases are gathered', async () => {
+test('when all upstreams are limited, calls use most of the limits and releases are batched', async () => {
   const setup = createCoordinator(['a', 'b']);
   await runLoad(setup, 4 * WINDOW_MS, 40);
   for (const times of setup.callsAtMs.values()) {
--- a/packages/stages/src/long-burst.test.ts
+++ b/packages/stages/src/long-burst.test.ts
@@ -1,5 +1,6 @@
-// The load: a chain of four stages, the later of which get three times what they can do,
-// for twelve seconds. Late work ran ahead of work in time, which then was late too.
+// Guards against late work that is scheduled before work that can still be in time, which then
+// becomes late as well. Load: a chain of four stages; the last three receive three times
+// their capacity for twelve seconds.
 import {ManualClock, waitFor} from '@hollowstack/clock';
 import {createSeededRandom} from '@hollowstack/local-system';
 import type {StageJob, StageOutcome} from '@hollowstack/types';
@@ -15,20 +16,20 @@
 const CALL_MS = 100;
 const PIECE_MS = 10;
 const BATCH_SIZE = 4;
-/** Upstreams of each stage in turn. */
+/** Number of upstreams of each stage. */
 const UPSTREAM_COUNTS = [4, 1, 1, 1];
 const STAGE_COUNT = UPSTREAM_COUNTS.length;
-/** Requests a second that an upstream bears in full calls. */
+/** Requests per second that an upstream can serve in full calls. */
 const CAPACITY = (BATCH_SIZE * 1000) / (CALL_MS + BATCH_SIZE * PIECE_MS);
 const OVERLOAD = 3;
 const BURST_MS = 12_000;
-/** What stages take under load, over their bare work. */
+/** Ratio of a stage's duration under load to its work. */
 const QUEUEING = 1.5;
-/** Milliseconds that callers wait. */
+/** Milliseconds that callers wait for an answer. */
 const GIVEN_MS = 8000;
-/** Milliseconds in which a request is in time, for the kinds of the load in turn. */
+/** Latency objective of each kind of request. */
 const OBJECTIVES_MS = [1000, 1600, 1400];
-/** Of what the upstreams could do in time, the part that must be done so. */
+/** Minimum share of the upstreams' capacity that must be served in time. */
 const MIN_PART = 0.6;
 
 const STAGES = UPSTREAM_COUNTS.map((_, index) => ({
@@ -64,7 +65,9 @@
   return coordinator;
 }
 
-/** Sends one request through its stages, each with the results of the one before. */
+/**
+ * Runs one request through its stages; each stage reads the results of the previous one.
+ */
 async function runRequest(
   coordinator: StageCoordinator,
   clock: ManualClock,
@@ -120,13 +123,16 @@
 }
 
 for (const seed of [1, 2, 3]) {
-  test(`in a long burst the upstreams work on what can be in time, seed ${seed}`, async () => {
+  test(`in a long overload burst the upstreams serve requests that can be in time, seed ${seed}`, async () => {
     const ended = await runBurst(seed);
     const inTime = ended.filter(
       ({kind, tookMs, isMade}) => isMade && tookMs <= OBJECTIVES_MS[kind],
     );
     const possible = ended.length / OVERLOAD;
     const part = inTime.length / possible;
-    assert.ok(part >= MIN_PART, `${part.toFixed(3)} of what was possible`);
+    assert.ok(
+      part >= MIN_PART,
+      `${part.toFixed(3)} of the capacity served in time`,
+    );
   });
 }
--- a/packages/stages/src/peer-watch.test.ts
+++ b/packages/stages/src/peer-watch.test.ts
@@ -32,7 +32,7 @@
   return {getLiveCount: () => liveCount};
 }
 
-test('many who wait for a peer share its pings, and all learn that it is silent', async t => {
+test('callers that wait for the same peer share its pings, and all learn that it is unresponsive', async t => {
   const peer = createLink(t, 'peer');
   let pingCount = 0;
   let isSilent = false;
@@ -60,7 +60,7 @@
   assert.equal(pingCount, countBefore);
 });
 
-test('nobody waiting, nobody asks', async t => {
+test('a peer that no caller waits for is not pinged', async t => {
   const peer = createLink(t, 'peer');
   let pingCount = 0;
   peer.setRequestHandler(() => {
@@ -109,7 +109,7 @@
   return {manualClock, watch, peer};
 }
 
-test('a coordinator that falls silent is noticed within 0.6 s by a small fleet', async () => {
+test('an unresponsive coordinator is detected within 0.6 s if there are few instances', async () => {
   const {manualClock, watch, peer} = createWatch(9);
   const watching = watch.beginWatching(PEER);
   let hasFailed = false;
@@ -121,7 +121,7 @@
   assert.equal(hasFailed, true);
 });
 
-test('the pings of a large fleet do not grow with it', async () => {
+test('the total rate of pings is bounded regardless of the number of instances', async () => {
   const {manualClock, watch, peer} = createWatch(300);
   const watching = watch.beginWatching(PEER);
   await manualClock.advance(10_000);
--- a/packages/stages/src/poison-job.test.ts
+++ b/packages/stages/src/poison-job.test.ts
@@ -1,4 +1,5 @@
-// A work item that crashes its upstream took every item of the call along, again and again.
+// Guards against a piece that crashes its upstream and, through retries of the same batch,
+// repeatedly fails all other pieces of the call.
 import {ManualClock, waitFor} from '@hollowstack/clock';
 import type {StageOutcome} from '@hollowstack/types';
 import assert from 'node:assert/strict';
@@ -13,8 +14,8 @@
 const RANK = {name: 'rank', callMs: CALL_MS, pieceMs: 0, batchSize: 16};
 
 /**
- * A coordinator with one upstream, which crashes half a call in under work of the
- * poisonous request, and is back at once in a new life.
+ * Creates a coordinator with one upstream, which crashes halfway through any call with the
+ * poison request and restarts at once as a new incarnation.
  */
 function createCoordinator() {
   const clock = new ManualClock(0);
@@ -56,7 +57,7 @@
   return {clock, calls, crashed, outcomes, run, countTries};
 }
 
-test('a request that crashes upstreams is parted from the others of its call, which are made once more', async () => {
+test('a request that crashes upstreams is isolated from the others of its call, which are retried once', async () => {
   const {clock, crashed, outcomes, run, countTries} = createCoordinator();
   const others = ['j1', 'j2', 'j3'];
   for (const jobId of [...others, POISON]) run(jobId);
@@ -72,7 +73,7 @@
   assert.deepEqual(lost, crashed);
 });
 
-test('a large call is divided, and only its part with the poisonous request breaks again', async () => {
+test('a large broken call is split, and only the part with the poison request breaks again', async () => {
   const {clock, crashed, outcomes, run, countTries} = createCoordinator();
   const others = Array.from({length: 15}, (_, index) => `j${index}`);
   for (const jobId of [...others, POISON]) run(jobId);
@@ -84,7 +85,7 @@
   assert.equal(crashed.length, 3);
 });
 
-test('work that is known to be risky is called alone from the start', async () => {
+test('a job of an isolated request shares no call from the start', async () => {
   const {clock, calls, outcomes, run} = createCoordinator();
   run('j1');
   run(POISON, true);
--- a/packages/stages/src/result-releaser.test.ts
+++ b/packages/stages/src/result-releaser.test.ts
@@ -22,7 +22,7 @@
   return {clock, calls, released, add};
 }
 
-test('results of one upstream are given back together', async () => {
+test('results of one upstream are released in one call', async () => {
   const {clock, calls, released, add} = createReleaser(() => 0);
   add('h1');
   await clock.advance(30);
@@ -32,7 +32,7 @@
   assert.deepEqual(released, ['h1', 'h2']);
 });
 
-test('an upstream that wants no work gets them when the time is over', async () => {
+test('releases at an upstream that backs off are sent after the end of the back-off', async () => {
   let untilMs = 1000;
   const {clock, calls, released, add} = createReleaser(() =>
     Math.max(0, untilMs - clock.getNow()),
@@ -49,7 +49,7 @@
   assert.deepEqual(released, ['h1', 'h2']);
 });
 
-test('an upstream that leaves takes its results along and is not called', async () => {
+test('results of a leaving upstream count as released without a call', async () => {
   const {clock, calls, released, add} = createReleaser(() => undefined);
   add('h1');
   await clock.advance(100);
--- a/packages/stages/src/service-times.test.ts
+++ b/packages/stages/src/service-times.test.ts
@@ -32,12 +32,12 @@
   });
 }
 
-test('an item takes what the configuration says until calls were seen', () => {
+test('the duration of a piece is the configured one until calls are recorded', () => {
   const times = new ServiceTimes();
   assert.equal(times.computePiecesMs(createShares({large: 2, small: 3})), 100);
 });
 
-test('stages that share a service, and what calls take beside them, are learnt apart from mixed calls', () => {
+test('the durations of stages that share a service, and the fixed duration of calls, are learned from mixed calls', () => {
   const times = new ServiceTimes();
   const truth: Record<string, number> = {large: 24, small: 7};
   for (let call = 0; call < 200; call++) {
@@ -56,7 +56,7 @@
   assert.ok(Math.abs(callMs - TRUE_CALL_MS) < 1, `${callMs}`);
 });
 
-test('what is learnt stays within bounds of the configured time', () => {
+test('the learned duration of a piece stays within bounds around the configured one', () => {
   const times = new ServiceTimes();
   const shares = createShares({odd: 1});
   for (let call = 0; call < 100; call++) recordCall(times, shares, 0);
--- a/packages/stages/src/stage-admission.test.ts
+++ b/packages/stages/src/stage-admission.test.ts
@@ -74,7 +74,7 @@
   return count;
 }
 
-test('steps run after those they read, beside those they do not', () => {
+test('a step starts after the steps that it reads and in parallel with the others', () => {
   const finishMs = predictFinishMs({
     steps: [
       createStep('a', 1, []),
@@ -85,11 +85,11 @@
     getPieceMs: (_, {pieceMs}) => pieceMs,
     getWaitMs: service => (service === 'c' ? 150 : 0),
   });
-  // b alone takes 400; a then c take 110, wait until 150, and 110 more.
+  // b takes 400 ms; a takes 110 ms, c waits until 150 ms and takes another 110 ms.
   assert.equal(finishMs, 400);
 });
 
-test('requests are admitted until one could not be in time, then told when to come back', () => {
+test('requests are admitted until one would be late, then refused with a retry delay', () => {
   const admission = createAdmission();
   const count = countAdmitted(admission);
   assert.ok(count >= 3 && count <= 6, `${count}`);
@@ -98,27 +98,27 @@
   assert.ok(refused.retryAfterMs >= 300 && refused.retryAfterMs <= 2400);
 });
 
-test('result memory that is short holds requests up as busy upstreams do', () => {
-  // Ten results of one byte a request, each held for 400 ms, in memory for 5.
+test('a shortage of result memory delays requests as busy upstreams do', () => {
+  // Each request has ten results of one byte, stored for 400 ms in a memory of 5 bytes.
   const admission = createAdmission(new ManualClock(), 5);
   const withMemory = countAdmitted(createAdmission());
   assert.ok(countAdmitted(admission) < withMemory);
 });
 
-test('a caller that has no time to come back is let in', () => {
+test('a late request is admitted if its caller has no time for a retry', () => {
   const admission = createAdmission();
   countAdmitted(admission);
   const late = createRequest('late', {mayComeBack: false});
   assert.equal(admission.judge(late).isAdmitted, true);
 });
 
-test('the work of less urgent requests holds up no more urgent one', () => {
+test('the work of less urgent requests does not delay a more urgent one', () => {
   const admission = createAdmission();
   countAdmitted(admission, {priority: 2});
   assert.ok(admission.judge(createRequest('urgent')).isAdmitted);
 });
 
-test('finished steps, ended requests and passed deadlines make room', async () => {
+test('finished steps, ended requests and passed deadlines free capacity', async () => {
   const clock = new ManualClock();
   const admission = createAdmission(clock);
   countAdmitted(admission);
@@ -131,7 +131,7 @@
   assert.equal(admission.judge(createRequest('z')).isAdmitted, true);
 });
 
-test('what requests took to their first bytes is learnt of all instances together', () => {
+test('the time to the first event is learned from the reports of all instances', () => {
   const admission = createAdmission();
   const ask = (requestId: string, route: string) =>
     admission.judge(createRequest(requestId, {route, requestMs: 100}))
@@ -146,7 +146,7 @@
   admission.stop();
 });
 
-test('a request whose objective has passed is let in behind those that can be in time', () => {
+test('a request whose objective has passed is admitted behind those that can be in time', () => {
   const admission = createAdmission();
   const inTime = () =>
     admission.judge(createRequest('in-time', {dueInMs: 1000})).predictedMs;
@@ -160,7 +160,7 @@
   admission.stop();
 });
 
-test('a late request is refused where those before it leave it no time', () => {
+test('a late request is refused if the requests before it leave it too little time', () => {
   const admission = createAdmission();
   const admitLate = () =>
     countAdmitted(admission, {dueInMs: -10, remainingMs: 4000});
@@ -169,8 +169,8 @@
   admission.stop();
 });
 
-// Four stages in a row, each on a service of 13 upstreams that are half used when calls
-// are full: 100 requests a second, each some 1.3 s in its stages.
+// A chain of four stages, each on a service of 13 upstreams at half their capacity with full
+// calls: 100 requests per second, each spending about 1.3 s in its stages.
 const CHAIN = ['a', 'b', 'c', 'd'].map((service, index) =>
   createStep(service, 3, index === 0 ? [] : [index - 1]),
 );
@@ -196,7 +196,7 @@
   return admission.judge(createRequest(requestId, request));
 }
 
-test('a chain of stages is let in while the stages of others are as far along as its own will be', () => {
+test('a chain of stages is admitted while other chains are spread evenly over the stages', () => {
   const admission = createChainAdmission();
   for (let index = 0; index < 130; index++) {
     const requestId = `r${index}`;
@@ -208,24 +208,24 @@
     const {service} = CHAIN[current];
     admission.recordPhase(service, requestId, current, 'running');
   }
-  // 4 calls of 270 ms, 120 ms at the engine, and what is left of calls in progress.
+  // 4 calls of 270 ms, 120 ms at the engine, and the remaining time of calls in flight.
   const {predictedMs} = judgeChain(admission, 'next');
   assert.ok(predictedMs < 1_310, `${predictedMs}`);
   admission.stop();
 });
 
-test('a chain of stages is refused once more waits than its time allows', () => {
+test('a chain of stages is refused once the waiting work exceeds its time', () => {
   const admission = createChainAdmission();
   let count = 0;
   while (count < 2_000 && judgeChain(admission, `r${count}`).isAdmitted) {
     count += 1;
   }
-  // Some 0.4 s of waiting at 13 upstreams that do 3 items in 80 ms.
+  // About 0.4 s of waiting at 13 upstreams that run 3 pieces in 80 ms.
   assert.ok(count > 30 && count < 150, `${count}`);
   admission.stop();
 });
 
-test('a step whose items wait again after a failed call counts as waiting', () => {
+test('a step whose pieces are requeued after a failed call counts as queued', () => {
   const admission = createAdmission();
   admission.judge(createRequest('first'));
   admission.recordPhase('s', 'first', 0, 'running');
@@ -238,7 +238,7 @@
   admission.stop();
 });
 
-test('a request that is late by its own size alone is let in: coming back would not help it', () => {
+test('a request that is late by its own size alone is admitted, since a retry would not help', () => {
   const admission = createAdmission();
   const large = {requestMs: 900, dueInMs: 1000};
   assert.equal(admission.judge(createRequest('large', large)).isAdmitted, true);
@@ -251,7 +251,7 @@
   admission.stop();
 });
 
-test('where room is short, requests with large prompts are refused no more often than others', () => {
+test('under overload, requests with large prompts are refused no more often than others', () => {
   const clock = new ManualClock();
   const admission = createAdmission(clock);
   const sizes = [500, 1000, 2000, 20_000];
@@ -271,7 +271,7 @@
   });
   assert.ok(counts[0] > 0);
   assert.equal(new Set(counts).size, 1, counts.join(' '));
-  // Their place is predicted as it is.
+  // The prediction still includes the extra time of large prompts.
   const [small, large] = [500, 20_000].map(
     ownTokens => admission.judge(createRequest('x', {ownTokens})).predictedMs,
   );
--- a/packages/stages/src/stage-back-off.test.ts
+++ b/packages/stages/src/stage-back-off.test.ts
@@ -1,5 +1,5 @@
-// The load: a stage service all of whose upstreams turn calls away and name a time.
-// Before that was read, each job was sent back and forth between them until its deadline.
+// Guards against jobs that are sent back and forth until their deadline between upstreams
+// that all refuse calls with a retry delay.
 import {ManualClock} from '@hollowstack/clock';
 import {SilentEventLogger} from '@hollowstack/logger';
 import {MetricsRegistry} from '@hollowstack/metrics';
@@ -29,7 +29,10 @@
   },
 };
 
-/** A coordinator of upstreams `a` and `b`; `turnAway` says how often they do so first. */
+/**
+ * Creates a coordinator with the upstreams `a` and `b`, which refuse the first `count` calls
+ * with a retry delay of `forMs`.
+ */
 function createCoordinator(turnAway: {count: number; forMs: number}) {
   const clock = new ManualClock(0);
   const logger = new SilentEventLogger();
@@ -86,7 +89,7 @@
   return {clock, backOffs, coordinator, callsAtMs, run};
 }
 
-test('a call that is turned away goes to the upstream that still takes work', async () => {
+test('a refused call goes to the upstream that still takes work', async () => {
   const {clock, callsAtMs, run} = createCoordinator({count: 1, forMs: 3000});
   const job = run('j1', 1000);
   await clock.advance(1000);
@@ -94,7 +97,7 @@
   assert.equal(new Set(callsAtMs.map(({id}) => id)).size, 2);
 });
 
-test('jobs are refused at once, with the time that is left, where no upstream wants work in their time', async () => {
+test('jobs fail at once, with the remaining retry delay, if no upstream takes work in their time', async () => {
   const {clock, callsAtMs, run} = createCoordinator({count: 2, forMs: 3000});
   const job = run('j1', 1000);
   await clock.advance(200);
@@ -111,7 +114,7 @@
   assert.equal(callsAtMs.length, 2);
 });
 
-test('a job waits for upstreams that want work again well inside its time', async () => {
+test('a job waits for upstreams whose back-off ends well within its time', async () => {
   const {clock, callsAtMs, run} = createCoordinator({count: 2, forMs: 400});
   const job = run('j1', 1000);
   await clock.advance(1000);
@@ -120,12 +123,12 @@
   assert.deepEqual(early, []);
 });
 
-test('a call that is kept back counts neither against its job nor against its upstream', async () => {
+test('a call that is cancelled before its send counts neither against its job nor its upstream', async () => {
   const {clock, backOffs, callsAtMs, run} = createCoordinator({
     count: 0,
     forMs: 0,
   });
-  // The word comes between the choice and the send, ten times over.
+  // The back-offs begin between the plan and the send, ten times in a row.
   for (let round = 0; round < 10; round++) {
     const job = run(`j${round}`, 2000);
     backOffs.beginBackOff('a', 300);
@@ -136,7 +139,7 @@
   assert.equal(callsAtMs.length, 10);
 });
 
-test('a coordinator that was turned away counts fewer places and admits less', async () => {
+test('a coordinator counts fewer call slots and admits less while upstreams back off', async () => {
   const {clock, backOffs, coordinator} = createCoordinator({
     count: 0,
     forMs: 0,
--- a/packages/stages/src/stage-timing.test.ts
+++ b/packages/stages/src/stage-timing.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {computeSlackMs, type StageProgress} from './stage-timing.ts';
 
-/** One large stage beside a chain of three. */
+/** Creates one stage parallel to a chain of three. */
 function createFork(chainMs: readonly number[]): StageProgress[] {
   const [first, second, third] = chainMs;
   return [
@@ -14,20 +14,20 @@
   ];
 }
 
-test('a stage beside a longer chain may wait until the rest of the chain is as short', () => {
+test('a stage parallel to a longer chain may wait until the rest of the chain is as short', () => {
   assert.equal(computeSlackMs(createFork([300, 400, 300]), 0), 700);
   assert.equal(computeSlackMs(createFork([0, 200, 300]), 0), 200);
   assert.equal(computeSlackMs(createFork([0, 0, 300]), 0), 0);
   assert.equal(computeSlackMs(createFork([0, 0, 100]), 0), 0);
 });
 
-test('a stage on the longest chain never waits', () => {
+test('a stage on the longest chain has no slack', () => {
   assert.equal(computeSlackMs(createFork([300, 400, 300]), 1), 0);
   const alone = [{after: [], remainingMs: 50}];
   assert.equal(computeSlackMs(alone, 0), 0);
 });
 
-test('a stage that others read counts with its readers', () => {
+test('the slack of a stage accounts for the stages that read it', () => {
   const stages = [
     {after: [], remainingMs: 100},
     {after: [0], remainingMs: 250},
@@ -36,7 +36,7 @@
   assert.equal(computeSlackMs(stages, 0), 150);
 });
 
-test('slack is never negative, and waiting it out never delays the request', () => {
+test('slack is never negative, and using it up never delays the request', () => {
   const graphs = fc
     .array(
       fc.record({
--- a/packages/stages/src/stale-view.test.ts
+++ b/packages/stages/src/stale-view.test.ts
@@ -8,7 +8,10 @@
 const RANK = {name: 'rank', callMs: 10, pieceMs: 0, batchSize: 16};
 const REFRESH_MS = 100;
 
-/** A coordinator whose view is stale, until a refresh shows that an upstream has left. */
+/**
+ * Creates a coordinator with a stale view, until a refresh reveals that an upstream has
+ * left.
+ */
 function createStaleCoordinator(isConfirmed: boolean) {
   const clock = new ManualClock(0);
   const called: string[] = [];
@@ -44,7 +47,7 @@
   return {clock, called, run, countRefreshes: () => refreshCount};
 }
 
-test('stage calls wait for the refresh of a stale view, and go by what it brings', async () => {
+test('stage calls wait for the refresh of a stale view and use the refreshed one', async () => {
   const {clock, called, run, countRefreshes} = createStaleCoordinator(true);
   run('j1');
   await clock.advance(REFRESH_MS / 2);
@@ -55,7 +58,7 @@
   assert.equal(countRefreshes(), 1);
 });
 
-test('stage calls go on by what is known where nobody confirms it', async () => {
+test('stage calls use the stale view if it cannot be confirmed', async () => {
   const {clock, called, run} = createStaleCoordinator(false);
   run('j1');
   await clock.advance(2 * REFRESH_MS);
