--- a/packages/stages/src/batch-plan.test.ts
+++ b/packages/stages/src/batch-plan.test.ts
@@ -167,9 +167,9 @@
 
 test('a job with almost no spare time takes a free upstream in any failure domain', () => {
   // 150 ms per call and 10 ms per piece.
-  const far = {failureDomain: 'b', crossingBytes: 5_000_000};
-  const tight = createJob('tight', {...far, dueAtMs: 175});
-  const patient = createJob('patient', {...far, dueAtMs: 900});
+  const remote = {failureDomain: 'b', crossingBytes: 5_000_000};
+  const tight = createJob('tight', {...remote, dueAtMs: 175});
+  const patient = createJob('patient', {...remote, dueAtMs: 900});
   const free = [createUpstream('u', {failureDomain: 'a'})];
   const input = {
     ...createInput([tight, patient], free, 10),
@@ -183,10 +183,10 @@
 });
 
 test('a call is filled with jobs of other failure domains while at least a full batch waits', () => {
-  const far = {failureDomain: 'b', crossingBytes: 5_000_000, pieceCount: 4};
+  const remote = {failureDomain: 'b', crossingBytes: 5_000_000, pieceCount: 4};
   const jobs = [
-    createJob('far-1', far),
-    createJob('far-2', far),
+    createJob('far-1', remote),
+    createJob('far-2', remote),
     createJob('near', {pieceCount: 2, failureDomain: 'a', dueAtMs: 2000}),
   ];
   const free = [createUpstream('u', {failureDomain: 'a'})];
--- a/packages/stages/src/batch-plan.ts
+++ b/packages/stages/src/batch-plan.ts
@@ -73,7 +73,7 @@
  * of a request with a large prompt, takes any free upstream: with a share of all remaining
  * time such a job lost 70 of 600 ms on average.
  */
-const DOMAIN_PATIENCE = 0.35;
+const DOMAIN_WAIT_SHARE = 0.35;
 /**
  * Share of the fixed duration of a call after which a wait counts as long: by then several
  * upstreams have become free, on average one of them in the job's own domain.
@@ -82,16 +82,16 @@
 /** Slowness from which on an upstream is used only if the others cannot keep up. */
 export const SLOW_FACTOR = 2;
 /** Wait, about one call long, after which slow upstreams are used as well. */
-const SLOW_RESERVE_WAIT_MS = 200;
+const SLOW_UPSTREAM_WAIT_MS = 200;
 /** One step of priority outweighs a due time that is this much earlier. */
 const PRIORITY_STEP_MS = 300;
 /** Ranks jobs that can no longer be in time after all jobs that still can. */
-const LATE_MS = 100_000;
+const LATE_PENALTY_MS = 100_000;
 /**
  * Ranks late jobs without inputs after late jobs with inputs: the latter have less work left,
  * and while they wait their inputs occupy result memory that others need.
  */
-const LATE_WITHOUT_INPUTS_MS = 2 * LATE_MS;
+const LATE_WITHOUT_INPUTS_PENALTY_MS = 2 * LATE_PENALTY_MS;
 
 /**
  * Plans the calls of one service. The most urgent jobs go first, each in a single call if
@@ -101,18 +101,23 @@
 export function assembleBatches(input: BatchPlanInput): Batch[] {
   const {capacity} = input;
   const waiting = listByUrgency(input);
-  const left = new Map(waiting.map(job => [job.jobId, job.pieceCount]));
+  const remainingCounts = new Map(
+    waiting.map(job => [job.jobId, job.pieceCount]),
+  );
   const free = chooseUpstreams(input, waiting);
   const batches: Batch[] = [];
   free.forEach((upstream, index) => {
     const eligible = listCompatible(
-      listEligible(waiting, left, upstream, input),
+      listEligible(waiting, remainingCounts, upstream, input),
     );
     if (eligible.length === 0) return;
-    const pieces = eligible.reduce((sum, job) => sum + left.get(job.jobId)!, 0);
+    const pieces = eligible.reduce(
+      (sum, job) => sum + remainingCounts.get(job.jobId)!,
+      0,
+    );
     const share = Math.ceil(pieces / (free.length - index));
     const size = Math.min(capacity.batchSize, share);
-    const parts = assembleBatch(eligible, left, {
+    const parts = assembleBatch(eligible, remainingCounts, {
       size,
       maxSize: capacity.batchSize,
       maySplit: pieces > capacity.batchSize * free.length,
@@ -132,23 +137,28 @@
 // transfer six times as many bytes between domains.
 function listEligible(
   waiting: readonly WaitingJob[],
-  left: ReadonlyMap<string, number>,
+  remainingCounts: ReadonlyMap<string, number>,
   upstream: FreeUpstream,
   input: BatchPlanInput,
 ): WaitingJob[] {
   const usable = waiting.filter(
-    job => left.get(job.jobId)! > 0 && mayRunOn(job, upstream, input),
+    job =>
+      remainingCounts.get(job.jobId)! > 0 &&
+      mayRunOnUpstream(job, upstream, input),
+  );
+  const isLocal = (job: WaitingJob) =>
+    mayRunInDomain(job, upstream.failureDomain, input);
+  const local = usable.filter(isLocal);
+  const pieces = usable.reduce(
+    (sum, job) => sum + remainingCounts.get(job.jobId)!,
+    0,
   );
-  const isNear = (job: WaitingJob) =>
-    mayRunIn(job, upstream.failureDomain, input);
-  const near = usable.filter(isNear);
-  const pieces = usable.reduce((sum, job) => sum + left.get(job.jobId)!, 0);
-  if (pieces < input.capacity.batchSize) return near;
+  if (pieces < input.capacity.batchSize) return local;
   const longMs = LONG_WAIT_SHARE * input.capacity.callMs;
-  const far = usable.filter(
-    job => !isNear(job) && input.nowMs - job.queuedAtMs >= longMs,
+  const remote = usable.filter(
+    job => !isLocal(job) && input.nowMs - job.queuedAtMs >= longMs,
   );
-  return [...near, ...far];
+  return [...local, ...remote];
 }
 
 interface BatchBounds {
@@ -166,7 +176,7 @@
 
 function assembleBatch(
   jobs: readonly WaitingJob[],
-  left: Map<string, number>,
+  remainingCounts: Map<string, number>,
   bounds: BatchBounds,
 ): BatchPart[] {
   const parts: BatchPart[] = [];
@@ -176,9 +186,9 @@
   let spareMs = Infinity;
   for (const job of jobs) {
     if (pieces >= bounds.size) break;
-    const wanted = left.get(job.jobId)!;
-    const room = countRoom(job, bounds.freeBytes - bytes);
-    const fitting = Math.min(wanted, room, bounds.maxSize - pieces);
+    const wanted = remainingCounts.get(job.jobId)!;
+    const maxByMemory = countFittingPieces(job, bounds.freeBytes - bytes);
+    const fitting = Math.min(wanted, maxByMemory, bounds.maxSize - pieces);
     if (fitting <= 0) continue;
     // Otherwise a job is split only if it does not fit in a call of its own.
     if (fitting < wanted && parts.length > 0 && !bounds.maySplit) continue;
@@ -187,7 +197,7 @@
     workMs += addedMs;
     spareMs = Math.min(spareMs, computeSpareMs(job, workMs, bounds));
     parts.push({jobId: job.jobId, pieceCount: fitting});
-    left.set(job.jobId, wanted - fitting);
+    remainingCounts.set(job.jobId, wanted - fitting);
     pieces += fitting;
     bytes += fitting * job.resultBytes;
   }
@@ -210,12 +220,12 @@
   return Math.max(workMs, leftMs - job.reserveMs);
 }
 
-function countRoom(job: WaitingJob, freeBytes: number): number {
+function countFittingPieces(job: WaitingJob, freeBytes: number): number {
   if (job.resultBytes <= 0) return Infinity;
   return Math.floor(freeBytes / job.resultBytes);
 }
 
-function mayRunIn(
+function mayRunInDomain(
   job: WaitingJob,
   failureDomain: string,
   input: BatchPlanInput,
@@ -226,12 +236,12 @@
   if (!input.domainsInUse.has(job.failureDomain)) return true;
   const workMs = computeWorkMs(job, input);
   const spareMs = job.dueAtMs - job.reserveMs - job.queuedAtMs - workMs;
-  return input.nowMs - job.queuedAtMs >= DOMAIN_PATIENCE * spareMs;
+  return input.nowMs - job.queuedAtMs >= DOMAIN_WAIT_SHARE * spareMs;
 }
 
 // Keeps a job off a slow upstream that would make it late, if an upstream of normal speed,
 // busy now, could still serve it in time.
-function mayRunOn(
+function mayRunOnUpstream(
   job: WaitingJob,
   {slowness}: FreeUpstream,
   input: BatchPlanInput,
@@ -249,10 +259,12 @@
     0,
     ...waiting.map(job => input.nowMs - job.queuedAtMs),
   );
-  const isPressed = longestWaitMs >= SLOW_RESERVE_WAIT_MS;
-  const isOnly = input.upstreamsInUse <= 1;
+  const isBacklogged = longestWaitMs >= SLOW_UPSTREAM_WAIT_MS;
+  const isOnlyUpstream = input.upstreamsInUse <= 1;
   return input.free
-    .filter(({slowness}) => slowness < SLOW_FACTOR || isPressed || isOnly)
+    .filter(
+      ({slowness}) => slowness < SLOW_FACTOR || isBacklogged || isOnlyUpstream,
+    )
     .sort(compareUpstreams);
 }
 
@@ -265,12 +277,12 @@
 
 // Late jobs rank last, so that they do not delay jobs that can still be in time.
 function computeRank(job: WaitingJob, input: BatchPlanInput): number {
-  const lateMs = isLate(job, 1, input) ? computeLateMs(job) : 0;
-  return job.dueAtMs + job.priority * PRIORITY_STEP_MS + lateMs;
+  const latePenaltyMs = isLate(job, 1, input) ? computeLatePenaltyMs(job) : 0;
+  return job.dueAtMs + job.priority * PRIORITY_STEP_MS + latePenaltyMs;
 }
 
-function computeLateMs({hasInputs}: WaitingJob): number {
-  return hasInputs ? LATE_MS : LATE_WITHOUT_INPUTS_MS;
+function computeLatePenaltyMs({hasInputs}: WaitingJob): number {
+  return hasInputs ? LATE_PENALTY_MS : LATE_WITHOUT_INPUTS_PENALTY_MS;
 }
 
 // Whether a call with only this job, started now, would end after the due time.
--- a/packages/stages/src/batch-runner.ts
+++ b/packages/stages/src/batch-runner.ts
@@ -56,7 +56,7 @@
   readonly startedAtMs: number;
   readonly expectedMs: number;
   readonly capacity: StageCapacity;
-  readonly isLoaded: boolean;
+  readonly hasBacklog: boolean;
 }
 
 /** Pause of an upstream that refused a call without starting it. */
@@ -84,46 +84,46 @@
     {capacity, nowMs, hasBacklog}: BatchRunOptions,
   ): Promise<void> {
     const upstream = this.parts.fleet.findUpstream(batch.upstreamId)!;
-    const taken = batch.parts.flatMap(part =>
+    const pieces = batch.parts.flatMap(part =>
       this.parts.jobs.find(part.jobId)!.takePieces(part.pieceCount, nowMs),
     );
     const {id} = upstream.record;
-    for (const {job} of taken)
+    for (const {job} of pieces)
       this.parts.fleet.reserveBytes(id, job.resultBytes);
-    for (const state of listJobStates(taken))
+    for (const state of listJobStates(pieces))
       this.parts.handlePhaseChange(state);
-    const shares = listCallShares(taken, capacity);
+    const shares = listCallShares(pieces, capacity);
     const expectedMs =
       capacity.callMs + this.parts.times.computePiecesMs(shares);
-    const reads = this.parts.inputReleaser.beginCall(taken, expectedMs);
+    const readTracker = this.parts.inputReleaser.beginCall(pieces, expectedMs);
     upstream.beginCall();
     try {
       const answer = await this.parts.caller.runPieces(
         upstream.record,
-        taken.map(({piece}) => piece),
+        pieces.map(({piece}) => piece),
         expectedMs *
           CALL_TIMEOUT_FACTOR *
           Math.max(1, upstream.getSlowness(nowMs)) +
           CALL_TIMEOUT_MARGIN_MS,
         () => {
           if (!this.parts.fleet.acquireSend(id)) return false;
-          if (this.parts.releasesInputsEarly) reads.recordSent();
+          if (this.parts.releasesInputsEarly) readTracker.recordSent();
           return true;
         },
       );
-      this.handleAnswer(upstream, taken, answer, {
+      this.handleAnswer(upstream, pieces, answer, {
         startedAtMs: nowMs,
         expectedMs,
         capacity,
-        isLoaded: hasBacklog,
+        hasBacklog,
       });
     } catch (error) {
-      this.handleFailure(upstream, taken, error, nowMs);
+      this.handleFailure(upstream, pieces, error, nowMs);
     } finally {
-      reads.end();
+      readTracker.end();
       upstream.endCall(this.parts.clock.getNow());
       // Some pieces may have been requeued.
-      for (const state of listJobStates(taken))
+      for (const state of listJobStates(pieces))
         this.parts.handlePhaseChange(state);
       this.parts.handleCallEnd();
     }
@@ -131,7 +131,7 @@
 
   private handleAnswer(
     upstream: StageUpstream,
-    taken: readonly InFlightPiece[],
+    pieces: readonly InFlightPiece[],
     answer: RunAnswer,
     call: RunningCall,
   ): void {
@@ -142,20 +142,20 @@
     if (answer.type === 'not-run') {
       upstream.pausedUntilMs = nowMs + FULL_PAUSE_MS;
       if (answer.isOtherUpstream) upstream.recordFailure(nowMs, 'refused');
-      this.putBackPieces(upstream, taken);
+      this.requeuePieces(upstream, pieces);
       return;
     }
     const tookMs = nowMs - call.startedAtMs;
     upstream.recordSuccess(nowMs, tookMs / call.expectedMs);
-    this.recordTimes(upstream, taken, answer, call);
+    this.recordTimes(upstream, pieces, answer, call);
     const {id, service} = upstream.record;
     const {outcomes} = answer;
-    for (const state of listJobStates(taken)) state.recordAnsweredCall();
+    for (const state of listJobStates(pieces)) state.recordAnsweredCall();
     logAnsweredCall(
       {
         service,
         upstreamId: id,
-        taken,
+        pieces,
         outcomes,
         tookMs,
         expectedMs: call.expectedMs,
@@ -165,7 +165,7 @@
       this.parts.logger,
       this.parts.metrics,
     );
-    taken.forEach((piece, index) =>
+    pieces.forEach((piece, index) =>
       this.settlePiece(upstream, piece, outcomes[index], call),
     );
   }
@@ -175,41 +175,41 @@
   // median: if all upstreams appear slow or fast, the expectation is wrong.
   private recordTimes(
     upstream: StageUpstream,
-    taken: readonly InFlightPiece[],
+    pieces: readonly InFlightPiece[],
     answer: RunAnswer,
-    {capacity, startedAtMs, expectedMs, isLoaded}: RunningCall,
+    {capacity, startedAtMs, expectedMs, hasBacklog}: RunningCall,
   ): void {
     const {service} = upstream.record;
     const nowMs = this.parts.clock.getNow();
-    const isWhole =
+    const isComplete =
       answer.type === 'outcomes' &&
       answer.outcomes.every(({type}) => type === 'made');
-    if (!isWhole) return;
-    const usualSlowness = this.parts.fleet.getMedianSlowness(service);
-    const slowness = upstream.getSlowness(nowMs) / usualSlowness;
+    if (!isComplete) return;
+    const medianSlowness = this.parts.fleet.getMedianSlowness(service);
+    const slowness = upstream.getSlowness(nowMs) / medianSlowness;
     this.parts.times.recordCall({
       service,
       batchSize: capacity.batchSize,
-      shares: listCallShares(taken, capacity),
+      shares: listCallShares(pieces, capacity),
       expectedMs,
       tookMs: (nowMs - startedAtMs) / slowness,
     });
-    if (!isLoaded) return;
+    if (!hasBacklog) return;
     this.parts.times.recordFillRatio(
       service,
-      taken.length / capacity.batchSize,
+      pieces.length / capacity.batchSize,
     );
   }
 
   private settlePiece(
     upstream: StageUpstream,
-    taken: InFlightPiece,
+    inFlight: InFlightPiece,
     outcome: PieceOutcome,
     {capacity, startedAtMs}: {capacity: StageCapacity; startedAtMs: number},
   ): void {
     const nowMs = this.parts.clock.getNow();
     const {id, failureDomain} = upstream.record;
-    const {state, job, piece} = taken;
+    const {state, job, piece} = inFlight;
     if (outcome.type === 'made') {
       const {handle, address} = outcome;
       const result: StageResult = {handle, address, failureDomain};
@@ -243,69 +243,72 @@
       // that no longer exists.
       const free = this.parts.fleet.countFreeBytes(upstream);
       upstream.addUntrackedBytes(free - job.resultBytes + 1, nowMs);
-      this.putBack(taken);
+      this.requeue(inFlight);
       return;
     }
-    this.putBackOrFail(taken, `upstream ${id} answered ${failure}`);
+    this.requeueOrFail(inFlight, `upstream ${id} answered ${failure}`);
   }
 
   private handleFailure(
     upstream: StageUpstream,
-    taken: readonly InFlightPiece[],
+    pieces: readonly InFlightPiece[],
     error: unknown,
     sentAtMs: number,
   ): void {
     const {id, service, address} = upstream.record;
     const nowMs = this.parts.clock.getNow();
-    const signs = error instanceof StageCallError ? error.details : undefined;
-    upstream.recordFailure(nowMs, signs?.isUnreachable ? 'refused' : 'broken');
+    const details = error instanceof StageCallError ? error.details : undefined;
+    upstream.recordFailure(
+      nowMs,
+      details?.isUnreachable ? 'refused' : 'broken',
+    );
     const reason = error instanceof Error ? error.message : String(error);
     this.parts.logger.logEvent('stage.call-failed', {
       service,
       upstream: id,
       address,
-      pieces: taken.length,
-      requests: [...new Set(taken.map(({job}) => job.requestId))].join(','),
+      pieces: pieces.length,
+      requests: [...new Set(pieces.map(({job}) => job.requestId))].join(','),
       reason,
     });
     const message = `call to upstream ${id} failed: ${reason}`;
-    if (signs?.isConnectionLost) {
+    if (details?.isConnectionLost) {
       const call = {
         upstream: {id, service, address},
         sentAtMs,
         endedAtMs: nowMs,
       };
-      for (const state of splitBrokenCall(listJobStates(taken), call)) {
+      for (const state of splitBrokenCall(listJobStates(pieces), call)) {
         this.parts.jobs.fail(state, 'failed', message);
       }
     }
-    for (const piece of taken) {
+    for (const piece of pieces) {
       this.parts.fleet.cancelReservation(id, piece.job.resultBytes);
-      this.putBackOrFail(piece, message);
+      this.requeueOrFail(piece, message);
     }
   }
 
-  private putBackPieces(
+  private requeuePieces(
     upstream: StageUpstream,
-    taken: readonly InFlightPiece[],
+    pieces: readonly InFlightPiece[],
   ): void {
-    for (const piece of taken) {
+    for (const piece of pieces) {
       this.parts.fleet.cancelReservation(
         upstream.record.id,
         piece.job.resultBytes,
       );
-      this.putBack(piece);
+      this.requeue(piece);
     }
   }
 
-  private putBackOrFail(taken: InFlightPiece, message: string): void {
-    if (taken.state.recordFailedPiece()) this.putBack(taken);
-    else this.parts.jobs.fail(taken.state, 'failed', message);
+  private requeueOrFail(inFlight: InFlightPiece, message: string): void {
+    if (inFlight.state.recordFailedPiece()) this.requeue(inFlight);
+    else this.parts.jobs.fail(inFlight.state, 'failed', message);
   }
 
   // Fails the job at once if its inputs have been released, since the earlier stages then
   // have to run again.
-  private putBack({state, piece}: InFlightPiece): void {
+  private requeue({state, piece}: InFlightPiece): void {
     if (state.requeuePiece(piece.piece)) return;
     this.parts.jobs.fail(
       state,
--- a/packages/stages/src/early-input-releaser.test.ts
+++ b/packages/stages/src/early-input-releaser.test.ts
@@ -48,8 +48,8 @@
 }) {
   const clock = new ManualClock(0);
   const logger = new SilentEventLogger();
-  const kept = new Set<string>();
-  const calls = {broken: 0, gone: 0, mostKept: 0};
+  const stored = new Set<string>();
+  const calls = {broken: 0, missingInputs: 0, maxStored: 0};
   let nextHandle = 1;
   const runPieces = async (
     {id}: {id: string},
@@ -60,24 +60,24 @@
     if (!mayStillSend())
       return {type: 'not-run', isOtherUpstream: false} as const;
     await waitMs(clock, FETCH_MS);
-    const areThere = pieces.map(({inputs}) =>
-      inputs.every(handle => kept.has(handle)),
+    const areInputsPresent = pieces.map(({inputs}) =>
+      inputs.every(handle => stored.has(handle)),
     );
     await waitMs(clock, CALL_MS);
     if (id.startsWith('reader') && calls.broken > 0) {
       calls.broken -= 1;
       throw new StageCallError('broke off');
     }
-    const outcomes = areThere.map(isThere => {
-      if (!isThere) {
-        calls.gone += 1;
+    const outcomes = areInputsPresent.map(arePresent => {
+      if (!arePresent) {
+        calls.missingInputs += 1;
         return {type: 'failed', failure: 'input-gone'} as const;
       }
       const handle = `${id}/${nextHandle++}`;
-      if (id.startsWith('maker')) kept.add(handle);
+      if (id.startsWith('maker')) stored.add(handle);
       return {type: 'made', handle, address: id} as const;
     });
-    calls.mostKept = Math.max(calls.mostKept, kept.size);
+    calls.maxStored = Math.max(calls.maxStored, stored.size);
     return {type: 'outcomes', outcomes} as const;
   };
   const coordinator = new StageCoordinator({
@@ -88,7 +88,7 @@
     caller: {
       runPieces,
       releaseResults: async (_, handles) => {
-        for (const handle of handles) kept.delete(handle);
+        for (const handle of handles) stored.delete(handle);
       },
       close: () => {},
     },
@@ -110,7 +110,7 @@
       createTestUpstream('read', `reader-${index}`),
     ]).flat(),
   );
-  return {clock, coordinator, kept, calls};
+  return {clock, coordinator, stored, calls};
 }
 
 function waitMs(clock: ManualClock, durationMs: number): Promise<void> {
@@ -158,9 +158,9 @@
   const inputs = await createInputs(chain, 6);
   const read = chain.coordinator.runJob(createJob('read', 2, inputs));
   await chain.clock.advance(80);
-  assert.equal(chain.kept.size, 6);
+  assert.equal(chain.stored.size, 6);
   await chain.clock.advance(90);
-  assert.equal(chain.kept.size, 0);
+  assert.equal(chain.stored.size, 0);
   const outcome = await chain.clock.advanceUntil(read, 1000);
   assert.equal(outcome.type, 'made');
   assert.equal(
@@ -181,7 +181,7 @@
       chain.coordinator.runJob(job),
       1000,
     );
-    assert.equal(chain.kept.size, 6);
+    assert.equal(chain.stored.size, 6);
     assert.equal(
       'areInputsReleased' in outcome && outcome.areInputsReleased,
       false,
@@ -194,10 +194,10 @@
   const inputs = await createInputs(chain, 6);
   const read = chain.coordinator.runJob(createJob('read', 12, inputs));
   await chain.clock.advance(190);
-  assert.equal(chain.kept.size, 6, 'two pieces wait for the second call');
+  assert.equal(chain.stored.size, 6, 'two pieces wait for the second call');
   const outcome = await chain.clock.advanceUntil(read, 1000);
   assert.equal(outcome.type, 'made');
-  assert.equal(chain.calls.gone, 0);
+  assert.equal(chain.calls.missingInputs, 0);
 });
 
 test('a call that breaks after its inputs were released fails its job at once, so that the stages run again', async () => {
@@ -210,7 +210,7 @@
     outcome.type === 'failed' ? outcome.failure : outcome.type,
     'input-gone',
   );
-  assert.equal(chain.calls.gone, 0, 'no call is made without inputs');
+  assert.equal(chain.calls.missingInputs, 0, 'no call is made without inputs');
 });
 
 /** Runs more chains than the upstreams can serve for 8 s and counts the finished ones. */
@@ -230,8 +230,8 @@
     void runOne();
     await clock.advance(8);
   }
-  assert.ok(calls.mostKept <= 80, `${calls.mostKept} results kept`);
-  assert.equal(calls.gone, 0);
+  assert.ok(calls.maxStored <= 80, `${calls.maxStored} results stored`);
+  assert.equal(calls.missingInputs, 0);
   return doneCount;
 }
 
--- a/packages/stages/src/early-input-releaser.ts
+++ b/packages/stages/src/early-input-releaser.ts
@@ -6,7 +6,7 @@
 /** Dependencies of InputReads. */
 export interface EarlyInputReleaserParts {
   readonly clock: Clock;
-  readonly fleet: Pick<StageFleet, 'findHeldInput' | 'isShortOfMemory'>;
+  readonly fleet: Pick<StageFleet, 'findStoredInput' | 'isShortOfMemory'>;
   /** Releases results at the upstreams that store them. */
   readonly releaseResults: (results: readonly StageResult[]) => void;
 }
@@ -39,7 +39,7 @@
 
   /** Starts tracking a call. */
   beginCall(
-    taken: readonly InFlightPiece[],
+    pieces: readonly InFlightPiece[],
     expectedMs: number,
   ): CallReadTracker {
     const {clock} = this.parts;
@@ -47,15 +47,15 @@
     return {
       recordSent: () => {
         timer = clock.schedule(expectedMs * READ_SHARE, () =>
-          this.recordRead(taken),
+          this.recordRead(pieces),
         );
       },
       end: () => timer?.cancel(),
     };
   }
 
-  private recordRead(taken: readonly InFlightPiece[]): void {
-    for (const {state, piece} of taken) {
+  private recordRead(pieces: readonly InFlightPiece[]): void {
+    for (const {state, piece} of pieces) {
       state.recordRead(piece.piece);
       if (state.mayReleaseInputs()) this.releaseInputs(state);
     }
@@ -64,7 +64,9 @@
   // Inputs that another coordinator accounts for are left to the submitter of the job.
   private releaseInputs(state: JobState): void {
     const {fleet, releaseResults} = this.parts;
-    const inputs = state.job.inputs.map(handle => fleet.findHeldInput(handle));
+    const inputs = state.job.inputs.map(handle =>
+      fleet.findStoredInput(handle),
+    );
     const known = inputs.filter(input => input !== undefined);
     if (known.length < inputs.length) return;
     const isShort = known.some(({upstreamId}) =>
--- a/packages/stages/src/first-event-times.ts
+++ b/packages/stages/src/first-event-times.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '@hollowstack/clock';
 
 /** Sums over the observations of a route, weighted by recency. */
-interface Sums {
+interface WeightedSums {
   weight: number;
   tokens: number;
   ms: number;
@@ -36,7 +36,7 @@
  */
 export class FirstEventTimes {
   private readonly clock: Clock;
-  private readonly sums = new Map<string, Sums>();
+  private readonly sums = new Map<string, WeightedSums>();
 
   constructor(clock: Clock) {
     this.clock = clock;
@@ -44,16 +44,16 @@
 
   /** Records the time from the send of a request to its first event. */
   recordFirstEvent(route: string, ownTokens: number, firstMs: number): void {
-    const before = this.sums.get(route);
-    const keep = before ? DECAY : 0;
+    const previous = this.sums.get(route);
+    const decay = previous ? DECAY : 0;
     const add = (sum: number | undefined, value: number) =>
-      (sum ?? 0) * keep + value;
+      (sum ?? 0) * decay + value;
     this.sums.set(route, {
-      weight: add(before?.weight, 1),
-      tokens: add(before?.tokens, ownTokens),
-      ms: add(before?.ms, firstMs),
-      tokensSquared: add(before?.tokensSquared, ownTokens * ownTokens),
-      tokensMs: add(before?.tokensMs, ownTokens * firstMs),
+      weight: add(previous?.weight, 1),
+      tokens: add(previous?.tokens, ownTokens),
+      ms: add(previous?.ms, firstMs),
+      tokensSquared: add(previous?.tokensSquared, ownTokens * ownTokens),
+      tokensMs: add(previous?.tokensMs, ownTokens * firstMs),
       recordedAtMs: this.clock.getNow(),
     });
   }
@@ -64,34 +64,34 @@
    * @param defaultMs Returned for a route without observations; old observations decay to it.
    */
   predictMs(route: string, ownTokens: number, defaultMs: number): number {
-    const seen = this.sums.get(route);
-    if (!seen) return defaultMs;
-    const meanTokens = seen.tokens / seen.weight;
-    const meanMs = seen.ms / seen.weight;
-    const slope = computeSlope(seen, meanTokens, meanMs);
-    const seenMs = Math.max(0, meanMs + slope * (ownTokens - meanTokens));
-    return this.computeFaded(seen, seenMs, defaultMs);
+    const sums = this.sums.get(route);
+    if (!sums) return defaultMs;
+    const meanTokens = sums.tokens / sums.weight;
+    const meanMs = sums.ms / sums.weight;
+    const slope = computeSlope(sums, meanTokens, meanMs);
+    const observedMs = Math.max(0, meanMs + slope * (ownTokens - meanTokens));
+    return this.computeDecayedMs(sums, observedMs, defaultMs);
   }
 
   /** Predicts the same for a request of mean size. */
   predictMeanMs(route: string, defaultMs: number): number {
-    const seen = this.sums.get(route);
-    if (!seen) return defaultMs;
-    return this.computeFaded(seen, seen.ms / seen.weight, defaultMs);
+    const sums = this.sums.get(route);
+    if (!sums) return defaultMs;
+    return this.computeDecayedMs(sums, sums.ms / sums.weight, defaultMs);
   }
 
-  private computeFaded(
-    {recordedAtMs}: Sums,
-    seenMs: number,
+  private computeDecayedMs(
+    {recordedAtMs}: WeightedSums,
+    observedMs: number,
     defaultMs: number,
   ): number {
     const ageMs = this.clock.getNow() - recordedAtMs;
-    return defaultMs + (seenMs - defaultMs) * 2 ** (-ageMs / HALF_LIFE_MS);
+    return defaultMs + (observedMs - defaultMs) * 2 ** (-ageMs / HALF_LIFE_MS);
   }
 }
 
 function computeSlope(
-  {weight, tokensSquared, tokensMs}: Sums,
+  {weight, tokensSquared, tokensMs}: WeightedSums,
   meanTokens: number,
   meanMs: number,
 ): number {
--- a/packages/stages/src/isolation.ts
+++ b/packages/stages/src/isolation.ts
@@ -10,7 +10,7 @@
 }
 
 /** Number of calls over which the jobs of a broken call are split. */
-const PARTS = 4;
+const SPLIT_CALL_COUNT = 4;
 
 /**
  * Creates the isolation for retrying the jobs of a broken call. Each retry holds at most a
@@ -19,7 +19,10 @@
  * @param callId Identifies the broken call.
  */
 export function createIsolation(callId: string, jobCount: number): Isolation {
-  return {group: callId, maxJobs: Math.max(1, Math.ceil(jobCount / PARTS))};
+  return {
+    group: callId,
+    maxJobs: Math.max(1, Math.ceil(jobCount / SPLIT_CALL_COUNT)),
+  };
 }
 
 /**
--- a/packages/stages/src/job-state.ts
+++ b/packages/stages/src/job-state.ts
@@ -40,8 +40,8 @@
   private readonly settle: (outcome: StageOutcome) => void;
   private readonly waiting: number[];
   private readonly results: Array<StageResult | undefined>;
-  private readonly read = new Set<number>();
-  private readonly lostCalls: LocalBrokenCall[] = [];
+  private readonly readPieces = new Set<number>();
+  private readonly brokenCalls: LocalBrokenCall[] = [];
   private isolation: Isolation | undefined;
   private failedPieces = 0;
   private areInputsReleased = false;
@@ -109,7 +109,7 @@
    */
   requeuePiece(piece: number): boolean {
     if (this.areInputsReleased) return false;
-    this.read.delete(piece);
+    this.readPieces.delete(piece);
     this.waiting.unshift(piece);
     return true;
   }
@@ -121,8 +121,8 @@
    */
   recordFailedPiece(): boolean {
     this.failedPieces += 1;
-    const most = this.job.pieceCount * MAX_FAILED_PIECES_FACTOR;
-    return this.failedPieces <= most;
+    const maxFailedPieces = this.job.pieceCount * MAX_FAILED_PIECES_FACTOR;
+    return this.failedPieces <= maxFailedPieces;
   }
 
   /**
@@ -132,10 +132,10 @@
    * @returns False if the job must not be retried.
    */
   recordBrokenCall(call: LocalBrokenCall, isolation: Isolation): boolean {
-    this.lostCalls.push(call);
+    this.brokenCalls.push(call);
     const wasAlone = isolation.maxJobs === 1 && this.isolation?.maxJobs === 1;
     this.isolation = isolation;
-    return !wasAlone || this.lostCalls.length < MAX_BROKEN_CALLS;
+    return !wasAlone || this.brokenCalls.length < MAX_BROKEN_CALLS;
   }
 
   /**
@@ -148,7 +148,7 @@
 
   /** Lists the broken calls of the job in the format that is reported to the submitter. */
   listBrokenCalls(nowMs: number): BrokenCall[] {
-    return this.lostCalls.map(({upstream, sentAtMs, endedAtMs}) => ({
+    return this.brokenCalls.map(({upstream, sentAtMs, endedAtMs}) => ({
       upstream,
       sentAgoMs: nowMs - sentAtMs,
       endedAgoMs: nowMs - endedAtMs,
@@ -157,14 +157,14 @@
 
   /** Records that an upstream has fetched the inputs of a piece. */
   recordRead(piece: number): void {
-    this.read.add(piece);
+    this.readPieces.add(piece);
   }
 
   /** Returns whether all pieces have read the inputs and no other job reads them. */
   mayReleaseInputs(): boolean {
-    const {job, read, isSettled, areInputsReleased} = this;
+    const {job, readPieces, isSettled, areInputsReleased} = this;
     if (isSettled || areInputsReleased || job.inputs.length === 0) return false;
-    return job.isOnlyReader === true && read.size === job.pieceCount;
+    return job.isOnlyReader === true && readPieces.size === job.pieceCount;
   }
 
   /** Records that the job's inputs have been released; its pieces cannot be retried. */
@@ -203,23 +203,23 @@
 
 /** Lists the jobs that the pieces of a call belong to. */
 export function listJobStates(
-  taken: readonly InFlightPiece[],
+  pieces: readonly InFlightPiece[],
 ): ReadonlySet<JobState> {
-  return new Set(taken.map(({state}) => state));
+  return new Set(pieces.map(({state}) => state));
 }
 
 /** Groups the pieces of a call by stage. */
 export function listCallShares(
-  taken: readonly InFlightPiece[],
+  pieces: readonly InFlightPiece[],
   {pieceMs}: StageCapacity,
 ): CallShare[] {
   const counts = new Map<string, number>();
-  for (const {job} of taken) {
+  for (const {job} of pieces) {
     counts.set(job.stageKey, (counts.get(job.stageKey) ?? 0) + 1);
   }
-  return [...counts].map(([stageKey, itemCount]) => ({
+  return [...counts].map(([stageKey, pieceCount]) => ({
     stageKey,
-    itemCount,
+    pieceCount,
     configuredMs: pieceMs,
   }));
 }
--- a/packages/stages/src/job-table.ts
+++ b/packages/stages/src/job-table.ts
@@ -13,7 +13,7 @@
 export interface JobTableParts {
   readonly getNow: () => number;
   /** Learned duration of a piece. */
-  readonly times: Pick<ServiceTimes, 'getItemMs'>;
+  readonly times: Pick<ServiceTimes, 'getPieceMs'>;
   /** Releases results at the upstreams that store them. */
   readonly releaseResults: (results: readonly StageResult[]) => void;
 }
@@ -128,7 +128,7 @@
 
   private toWaiting(state: JobState, capacity: StageCapacity): WaitingJob {
     const {stageKey} = state.job;
-    const pieceMs = this.parts.times.getItemMs(stageKey, capacity.pieceMs);
+    const pieceMs = this.parts.times.getPieceMs(stageKey, capacity.pieceMs);
     return state.toWaitingJob(pieceMs);
   }
 }
--- a/packages/stages/src/learned-call-times.test.ts
+++ b/packages/stages/src/learned-call-times.test.ts
@@ -117,9 +117,13 @@
   );
 }
 
-function checkNear(ratios: Map<string, number>, least: number, most: number) {
+function checkNear(
+  ratios: Map<string, number>,
+  minRatio: number,
+  maxRatio: number,
+) {
   for (const [upstream, ratio] of ratios) {
-    assert.ok(ratio >= least && ratio <= most, `${upstream}: ${ratio}`);
+    assert.ok(ratio >= minRatio && ratio <= maxRatio, `${upstream}: ${ratio}`);
   }
 }
 
--- a/packages/stages/src/long-burst.test.ts
+++ b/packages/stages/src/long-burst.test.ts
@@ -24,13 +24,13 @@
 const OVERLOAD = 3;
 const BURST_MS = 12_000;
 /** Ratio of a stage's duration under load to its work. */
-const QUEUEING = 1.5;
+const QUEUEING_FACTOR = 1.5;
 /** Milliseconds that callers wait for an answer. */
-const GIVEN_MS = 8000;
+const CALLER_TIMEOUT_MS = 8000;
 /** Latency objective of each kind of request. */
 const OBJECTIVES_MS = [1000, 1600, 1400];
 /** Minimum share of the upstreams' capacity that must be served in time. */
-const MIN_PART = 0.6;
+const MIN_IN_TIME_SHARE = 0.6;
 
 const STAGES = UPSTREAM_COUNTS.map((_, index) => ({
   name: `s${index}`,
@@ -42,7 +42,7 @@
 interface EndedRequest {
   readonly kind: number;
   readonly tookMs: number;
-  readonly isMade: boolean;
+  readonly isSuccessful: boolean;
 }
 
 function createCoordinator(clock: ManualClock): StageCoordinator {
@@ -80,7 +80,7 @@
   for (let stage = 0; stage < STAGE_COUNT; stage++) {
     const nowMs = clock.getNow();
     const stagesLeft = STAGE_COUNT - 1 - stage;
-    const tailMs = QUEUEING * stagesLeft * (CALL_MS + PIECE_MS);
+    const tailMs = QUEUEING_FACTOR * stagesLeft * (CALL_MS + PIECE_MS);
     const job: StageJob = {
       jobId: `${requestId}/${stage}`,
       requestId,
@@ -91,17 +91,17 @@
       inputs,
       resultBytes: 1000,
       dueInMs: dueAtMs - tailMs - nowMs,
-      remainingMs: startedAtMs + GIVEN_MS - tailMs - nowMs,
+      remainingMs: startedAtMs + CALLER_TIMEOUT_MS - tailMs - nowMs,
       priority: kind,
       crossingBytes: 0,
     };
     const outcome: StageOutcome = await coordinator.runJob(job);
     if (outcome.type !== 'made') {
-      return {kind, tookMs: clock.getNow() - startedAtMs, isMade: false};
+      return {kind, tookMs: clock.getNow() - startedAtMs, isSuccessful: false};
     }
     inputs = outcome.results.map(({handle}) => handle);
   }
-  return {kind, tookMs: clock.getNow() - startedAtMs, isMade: true};
+  return {kind, tookMs: clock.getNow() - startedAtMs, isSuccessful: true};
 }
 
 async function runBurst(seed: number): Promise<EndedRequest[]> {
@@ -117,7 +117,7 @@
       -Math.log(1 - random()) * (1000 / (OVERLOAD * CAPACITY)),
     );
   }
-  await clock.advance(GIVEN_MS + 1000);
+  await clock.advance(CALLER_TIMEOUT_MS + 1000);
   coordinator.stop();
   return Promise.all(running);
 }
@@ -126,13 +126,14 @@
   test(`in a long overload burst the upstreams serve requests that can be in time, seed ${seed}`, async () => {
     const ended = await runBurst(seed);
     const inTime = ended.filter(
-      ({kind, tookMs, isMade}) => isMade && tookMs <= OBJECTIVES_MS[kind],
+      ({kind, tookMs, isSuccessful}) =>
+        isSuccessful && tookMs <= OBJECTIVES_MS[kind],
     );
-    const possible = ended.length / OVERLOAD;
-    const part = inTime.length / possible;
+    const servable = ended.length / OVERLOAD;
+    const share = inTime.length / servable;
     assert.ok(
-      part >= MIN_PART,
-      `${part.toFixed(3)} of the capacity served in time`,
+      share >= MIN_IN_TIME_SHARE,
+      `${share.toFixed(3)} of the capacity served in time`,
     );
   });
 }
--- a/packages/stages/src/peer-watch.test.ts
+++ b/packages/stages/src/peer-watch.test.ts
@@ -35,10 +35,12 @@
 test('callers that wait for the same peer share its pings, and all learn that it is unresponsive', async t => {
   const peer = createLink(t, 'peer');
   let pingCount = 0;
-  let isSilent = false;
+  let isUnresponsive = false;
   peer.setRequestHandler(() => {
     pingCount += 1;
-    return isSilent ? new Promise(() => {}) : Promise.resolve({type: 'done'});
+    return isUnresponsive
+      ? new Promise(() => {})
+      : Promise.resolve({type: 'done'});
   });
   const address = await peer.listen('127.0.0.1:0');
   const watch = new PeerWatch({
@@ -52,7 +54,7 @@
   );
   await waitMs(800);
   assert.ok(pingCount >= 2 && pingCount <= 6, `${pingCount} pings`);
-  isSilent = true;
+  isUnresponsive = true;
   await Promise.all(watchings.map(({failed}) => failed));
   for (const watching of watchings) watching.end();
   const countBefore = pingCount;
@@ -84,20 +86,20 @@
 interface Watched {
   readonly manualClock: ManualClock;
   readonly watch: PeerWatch;
-  readonly peer: {pingCount: number; isSilent: boolean};
+  readonly peer: {pingCount: number; isUnresponsive: boolean};
 }
 
 function createWatch(liveCount: number): Watched {
   const manualClock = new ManualClock();
-  const peer = {pingCount: 0, isSilent: false};
+  const peer = {pingCount: 0, isUnresponsive: false};
   const sendRequest = async (
     _address: string,
     _request: unknown,
     timeoutMs: number,
   ): Promise<PeerReply> => {
     peer.pingCount += 1;
-    await waitFor(manualClock, peer.isSilent ? timeoutMs : 1);
-    if (peer.isSilent) throw new Error('no answer');
+    await waitFor(manualClock, peer.isUnresponsive ? timeoutMs : 1);
+    if (peer.isUnresponsive) throw new Error('no answer');
     return {type: 'done'};
   };
   const watch = new PeerWatch({
@@ -116,7 +118,7 @@
   void watching.failed.then(() => (hasFailed = true));
   await manualClock.advance(1000);
   assert.equal(hasFailed, false);
-  peer.isSilent = true;
+  peer.isUnresponsive = true;
   await manualClock.advance(610);
   assert.equal(hasFailed, true);
 });
--- a/packages/stages/src/peer-watch.ts
+++ b/packages/stages/src/peer-watch.ts
@@ -28,14 +28,14 @@
  * Minimum interval between pings; with the ping timeout it adds up to the 0.6 s within which an
  * unresponsive coordinator must be detected.
  */
-const MIN_PING_EVERY_MS = 150;
+const MIN_PING_INTERVAL_MS = 150;
 /**
  * Interval between pings per live instance, 0.3 s at 200 instances: all instances together
  * send one coordinator at most 670 pings a second, regardless of their number. A longer
  * interval is acceptable since a killed process closes its streams; only a frozen process or
  * a network partition has to be detected by pings.
  */
-const PING_EVERY_MS_PER_INSTANCE = 1.5;
+const PING_INTERVAL_MS_PER_INSTANCE = 1.5;
 /**
  * Timeout of a ping; about a hundred round trips, and enough for a busy process to answer.
  */
@@ -84,14 +84,14 @@
 
   private schedulePing(peer: WatchedPeer): void {
     const {clock, membership} = this.parts;
-    const everyMs = Math.max(
-      MIN_PING_EVERY_MS,
-      membership.getLiveCount() * PING_EVERY_MS_PER_INSTANCE,
+    const intervalMs = Math.max(
+      MIN_PING_INTERVAL_MS,
+      membership.getLiveCount() * PING_INTERVAL_MS_PER_INSTANCE,
     );
-    peer.timer = clock.schedule(everyMs, () => void this.askPeer(peer));
+    peer.timer = clock.schedule(intervalMs, () => void this.sendPing(peer));
   }
 
-  private async askPeer(peer: WatchedPeer): Promise<void> {
+  private async sendPing(peer: WatchedPeer): Promise<void> {
     const {clock, link, logger} = this.parts;
     const {address, id} = peer.record;
     const isAnswered = await Promise.race([
--- a/packages/stages/src/pending-work-table.ts
+++ b/packages/stages/src/pending-work-table.ts
@@ -33,9 +33,10 @@
   capacity: StageCapacity,
   pieceCount: number,
   pieceMs: number,
-  fill: number,
+  fillRatio: number,
 ): number {
-  const callShareMs = capacity.callMs / Math.max(1, capacity.batchSize * fill);
+  const callShareMs =
+    capacity.callMs / Math.max(1, capacity.batchSize * fillRatio);
   return pieceCount * (pieceMs + callShareMs);
 }
 
@@ -54,14 +55,14 @@
 
 /** Predicts the milliseconds until all steps of a request are done. */
 export function predictFinishMs(input: FinishInput): number {
-  const finishes: number[] = [];
-  const readStep = (index: number): number => {
-    finishes[index] ??= computeStep(index);
-    return finishes[index];
+  const finishTimesMs: number[] = [];
+  const getFinishMs = (index: number): number => {
+    finishTimesMs[index] ??= computeFinishMs(index);
+    return finishTimesMs[index];
   };
-  const computeStep = (index: number): number => {
+  const computeFinishMs = (index: number): number => {
     const step = input.steps[index];
-    const readyMs = Math.max(0, ...step.after.map(readStep));
+    const readyMs = Math.max(0, ...step.after.map(getFinishMs));
     const capacity = input.getCapacity(step.service);
     if (step.pieceCount === 0 || !capacity) return readyMs;
     const phase = readyMs > 0 ? 'planned' : 'queued';
@@ -69,7 +70,7 @@
     const pieceMs = input.getPieceMs(step, capacity);
     return startMs + capacity.callMs + pieceMs * step.pieceCount;
   };
-  return Math.max(0, ...input.steps.map((_, index) => readStep(index)));
+  return Math.max(0, ...input.steps.map((_, index) => getFinishMs(index)));
 }
 
 /** The work that admitted requests still need from each service. */
--- a/packages/stages/src/poison-job.test.ts
+++ b/packages/stages/src/poison-job.test.ts
@@ -21,8 +21,10 @@
   const clock = new ManualClock(0);
   const calls: string[][] = [];
   const crashed: string[] = [];
-  const registerLife = () =>
-    coordinator.setUpstreams([createRankUpstream(`life-${crashed.length}`)]);
+  const registerIncarnation = () =>
+    coordinator.setUpstreams([
+      createRankUpstream(`incarnation-${crashed.length}`),
+    ]);
   const runPieces = async (id: string, pieces: readonly StagePiece[]) => {
     const requestIds = pieces.map(({requestId}) => requestId);
     calls.push(requestIds);
@@ -31,7 +33,7 @@
     await waitFor(clock, workMs);
     if (isPoisoned) {
       crashed.push(id);
-      registerLife();
+      registerIncarnation();
       throw new StageCallError('aborted', {
         isUnreachable: false,
         isConnectionLost: true,
@@ -43,7 +45,7 @@
     return {type: 'outcomes', outcomes} as const;
   };
   const coordinator = createTestCoordinator(clock, [RANK], runPieces);
-  registerLife();
+  registerIncarnation();
   const outcomes = new Map<string, StageOutcome>();
   const run = (jobId: string, isIsolated?: boolean) =>
     void coordinator
--- a/packages/stages/src/request-stages.ts
+++ b/packages/stages/src/request-stages.ts
@@ -13,7 +13,7 @@
 import {computeSlackMs, type StageProgress} from './stage-timing.ts';
 
 /** Assumed time from the end of the stages to the first event, until it is learned. */
-const USUAL_REQUEST_MS = 120;
+const DEFAULT_REQUEST_MS = 120;
 
 /**
  * Share of an upstream's result memory from which on the results of a stage count as large,
@@ -33,7 +33,7 @@
  * Assumed ratio of a stage's duration, queueing included, to its work, until it is
  * learned.
  */
-const USUAL_QUEUEING = 1.5;
+const DEFAULT_QUEUEING_FACTOR = 1.5;
 
 /** Input of RequestStages. */
 export interface RequestStagesInput {
@@ -179,9 +179,9 @@
     try {
       return await this.runAll(signal);
     } catch (error) {
-      const isGone =
+      const areInputsGone =
         error instanceof StageError && error.failure === 'input-gone';
-      if (!isGone || signal.aborted) throw error;
+      if (!areInputsGone || signal.aborted) throw error;
       return this.runAll(signal);
     }
   }
@@ -192,21 +192,21 @@
     this.stageStartsMs = [];
     this.areDone = stages.map((_, index) => !this.isNeeded(index));
     this.readersLeft = stages.map((_, index) => this.listReaders(index).length);
-    const failing = new AbortController();
-    const both = AbortSignal.any([signal, failing.signal]);
-    const runs = stages.map((_, index) => this.runStage(index, both));
-    for (const run of runs) run.catch(error => failing.abort(error));
+    const failureController = new AbortController();
+    const combinedSignal = AbortSignal.any([signal, failureController.signal]);
+    const runs = stages.map((_, index) => this.runStage(index, combinedSignal));
+    for (const run of runs) run.catch(error => failureController.abort(error));
     const settled = await Promise.allSettled(runs);
     if (settled.some(({status}) => status === 'rejected')) {
       this.releaseAll();
       this.dispatcher.endRequest(this.input.requestId);
-      throw failing.signal.reason;
+      throw failureController.signal.reason;
     }
     const results: StageResult[] = [];
     const bytesByDomain = new Map<string, number>();
-    for (const [index, made] of this.unreleased) {
-      results.push(...made);
-      for (const {failureDomain} of made) {
+    for (const [index, stageResults] of this.unreleased) {
+      results.push(...stageResults);
+      for (const {failureDomain} of stageResults) {
         const bytes = bytesByDomain.get(failureDomain) ?? 0;
         bytesByDomain.set(failureDomain, bytes + stages[index].resultBytes);
       }
@@ -221,7 +221,10 @@
 
   private predictRequestMs(): number {
     if (this.firstMs !== undefined) return this.firstMs;
-    return this.durations.getMeanMs(this.createRequestKey(), USUAL_REQUEST_MS);
+    return this.durations.getMeanMs(
+      this.createRequestKey(),
+      DEFAULT_REQUEST_MS,
+    );
   }
 
   private createRequestKey(): string {
@@ -372,7 +375,7 @@
   private predictStageMs(index: number): number {
     return this.durations.getMeanMs(
       this.createStageKey(index),
-      USUAL_QUEUEING * this.computeStageMs(index),
+      DEFAULT_QUEUEING_FACTOR * this.computeStageMs(index),
     );
   }
 
--- a/packages/stages/src/result-memory.ts
+++ b/packages/stages/src/result-memory.ts
@@ -21,18 +21,18 @@
  * use until the result is released or expires.
  */
 export class ResultMemory {
-  private readonly held = new Map<string, StoredResult>();
-  private readonly used = new Map<string, number>();
+  private readonly stored = new Map<string, StoredResult>();
+  private readonly usedBytes = new Map<string, number>();
 
   /** Returns the reserved and stored bytes at an upstream. */
   getUsedBytes(upstreamId: string): number {
-    return this.used.get(upstreamId) ?? 0;
+    return this.usedBytes.get(upstreamId) ?? 0;
   }
 
   /** Counts the bytes of stored results of a service, reservations excluded. */
   countStoredBytes(service: string): number {
     let sum = 0;
-    for (const result of this.held.values()) {
+    for (const result of this.stored.values()) {
       if (result.service === service) sum += result.bytes;
     }
     return sum;
@@ -40,7 +40,7 @@
 
   /** Reserves memory for a result before its call. */
   reserve(upstreamId: string, bytes: number): void {
-    this.used.set(upstreamId, this.getUsedBytes(upstreamId) + bytes);
+    this.usedBytes.set(upstreamId, this.getUsedBytes(upstreamId) + bytes);
   }
 
   /** Cancels a reservation whose call brought no result. */
@@ -50,49 +50,49 @@
 
   /** Converts a reservation to a stored result. */
   recordResult(handle: string, result: StoredResult): void {
-    this.held.set(handle, result);
+    this.stored.set(handle, result);
   }
 
   /** Returns the id of the upstream that stores a result; undefined if it is not known. */
   findUpstreamId(handle: string): string | undefined {
-    return this.held.get(handle)?.upstreamId;
+    return this.stored.get(handle)?.upstreamId;
   }
 
   /** Lists the stored results whose owner is known, oldest first. */
   listOwned(): OwnedResult[] {
-    return [...this.held].flatMap(([handle, held]) => {
-      const {owner, address, failureDomain} = held;
+    return [...this.stored].flatMap(([handle, stored]) => {
+      const {owner, address, failureDomain} = stored;
       return owner ? [{handle, address, failureDomain, owner}] : [];
     });
   }
 
   /** Frees the memory of a result and returns it; undefined if it is not known. */
   release(handle: string): StoredResult | undefined {
-    const result = this.held.get(handle);
+    const result = this.stored.get(handle);
     if (!result) return undefined;
-    this.held.delete(handle);
+    this.stored.delete(handle);
     this.removeBytes(result.upstreamId, result.bytes);
     return result;
   }
 
   /** Removes results that have expired at their upstreams. */
   removeExpired(nowMs: number): void {
-    for (const [handle, {expiresAtMs}] of this.held) {
+    for (const [handle, {expiresAtMs}] of this.stored) {
       if (expiresAtMs <= nowMs) this.release(handle);
     }
   }
 
   /** Removes the results and reservations of an upstream that no longer exists. */
   removeUpstream(upstreamId: string): void {
-    for (const [handle, result] of this.held) {
-      if (result.upstreamId === upstreamId) this.held.delete(handle);
+    for (const [handle, result] of this.stored) {
+      if (result.upstreamId === upstreamId) this.stored.delete(handle);
     }
-    this.used.delete(upstreamId);
+    this.usedBytes.delete(upstreamId);
   }
 
   private removeBytes(upstreamId: string, bytes: number): void {
     const left = Math.max(0, this.getUsedBytes(upstreamId) - bytes);
-    if (left === 0) this.used.delete(upstreamId);
-    else this.used.set(upstreamId, left);
+    if (left === 0) this.usedBytes.delete(upstreamId);
+    else this.usedBytes.set(upstreamId, left);
   }
 }
--- a/packages/stages/src/result-releaser.ts
+++ b/packages/stages/src/result-releaser.ts
@@ -15,13 +15,13 @@
    * Returns the milliseconds over which releases at an address are collected; undefined if its
    * upstream advertises no limit.
    */
-  readonly getGatherMs?: (address: string) => number | undefined;
+  readonly getBatchDelayMs?: (address: string) => number | undefined;
   /** Called once an upstream has been asked to release results, or if it is leaving. */
   readonly handleReleased: (handles: readonly string[]) => void;
 }
 
 /** Default time over which releases are collected before they are sent. */
-const GATHER_MS = 40;
+const BATCH_DELAY_MS = 40;
 
 /** Releases results in batches, one per upstream address. */
 export class ResultReleaser {
@@ -41,8 +41,9 @@
         continue;
       }
       this.pending.set(address, [handle]);
-      const gatherMs = this.parts.getGatherMs?.(address) ?? GATHER_MS;
-      this.scheduleRelease(address, gatherMs);
+      const batchDelayMs =
+        this.parts.getBatchDelayMs?.(address) ?? BATCH_DELAY_MS;
+      this.scheduleRelease(address, batchDelayMs);
     }
   }
 
--- a/packages/stages/src/service-times.test.ts
+++ b/packages/stages/src/service-times.test.ts
@@ -9,9 +9,9 @@
 const BATCH_SIZE = 5;
 
 function createShares(counts: Readonly<Record<string, number>>): CallShare[] {
-  return Object.entries(counts).map(([stageKey, itemCount]) => ({
+  return Object.entries(counts).map(([stageKey, pieceCount]) => ({
     stageKey,
-    itemCount,
+    pieceCount,
     configuredMs: CONFIGURED_MS,
   }));
 }
@@ -42,15 +42,15 @@
   const truth: Record<string, number> = {large: 24, small: 7};
   for (let call = 0; call < 200; call++) {
     const shares = createShares({large: call % 4, small: (call * 3) % 5});
-    const itemsMs = shares.reduce(
-      (sum, {stageKey, itemCount}) => sum + truth[stageKey] * itemCount,
+    const piecesMs = shares.reduce(
+      (sum, {stageKey, pieceCount}) => sum + truth[stageKey] * pieceCount,
       0,
     );
-    recordCall(times, shares, TRUE_CALL_MS + itemsMs);
+    recordCall(times, shares, TRUE_CALL_MS + piecesMs);
   }
-  for (const [stageKey, itemMs] of Object.entries(truth)) {
-    const learntMs = times.getItemMs(stageKey, CONFIGURED_MS);
-    assert.ok(Math.abs(learntMs - itemMs) < 0.5, `${stageKey}: ${learntMs}`);
+  for (const [stageKey, pieceMs] of Object.entries(truth)) {
+    const learnedMs = times.getPieceMs(stageKey, CONFIGURED_MS);
+    assert.ok(Math.abs(learnedMs - pieceMs) < 0.5, `${stageKey}: ${learnedMs}`);
   }
   const callMs = times.getCallMs(SERVICE, CONFIGURED_CALL_MS);
   assert.ok(Math.abs(callMs - TRUE_CALL_MS) < 1, `${callMs}`);
@@ -60,7 +60,7 @@
   const times = new ServiceTimes();
   const shares = createShares({odd: 1});
   for (let call = 0; call < 100; call++) recordCall(times, shares, 0);
-  assert.equal(times.getItemMs('odd', CONFIGURED_MS), 2);
+  assert.equal(times.getPieceMs('odd', CONFIGURED_MS), 2);
   for (let call = 0; call < 100; call++) recordCall(times, shares, 10_000);
-  assert.equal(times.getItemMs('odd', CONFIGURED_MS), 60);
+  assert.equal(times.getPieceMs('odd', CONFIGURED_MS), 60);
 });
--- a/packages/stages/src/service-times.ts
+++ b/packages/stages/src/service-times.ts
@@ -2,7 +2,7 @@
 export interface CallShare {
   /** Identifies the route and stage of the pieces. */
   readonly stageKey: string;
-  readonly itemCount: number;
+  readonly pieceCount: number;
   /**
    * Configured milliseconds per piece; the configuration sets one value for each service.
    */
@@ -39,9 +39,9 @@
  */
 const OVERHEAD_WEIGHT = 0.1;
 /** Weight of the newest call in the fill ratio of a service. */
-const FILL_WEIGHT = 0.1;
+const FILL_RATIO_WEIGHT = 0.1;
 /** Assumed fill ratio until calls under load have been recorded. */
-const USUAL_FILL = 0.8;
+const DEFAULT_FILL_RATIO = 0.8;
 
 /**
  * Durations of stage calls, learned from completed calls. The configuration gives one duration
@@ -49,9 +49,9 @@
  * fraction of it, and each call has a fixed duration as well.
  */
 export class ServiceTimes {
-  private readonly itemMs = new Map<string, number>();
+  private readonly pieceMs = new Map<string, number>();
   private readonly overheadMs = new Map<string, number>();
-  private readonly fills = new Map<string, number>();
+  private readonly fillRatios = new Map<string, number>();
 
   /** Returns the fixed milliseconds of a call, in addition to those of its pieces. */
   getCallMs(service: string, configuredMs: number): number {
@@ -59,22 +59,22 @@
   }
 
   /** Returns the milliseconds of one piece of a stage. */
-  getItemMs(stageKey: string, configuredMs: number): number {
-    return this.itemMs.get(stageKey) ?? configuredMs;
+  getPieceMs(stageKey: string, configuredMs: number): number {
+    return this.pieceMs.get(stageKey) ?? configuredMs;
   }
 
   /**
    * Returns the mean ratio of pieces to the batch size in calls of a service under load.
    */
   getFillRatio(service: string): number {
-    return this.fills.get(service) ?? USUAL_FILL;
+    return this.fillRatios.get(service) ?? DEFAULT_FILL_RATIO;
   }
 
   /** Computes the milliseconds of all pieces of a call, without its fixed duration. */
   computePiecesMs(shares: readonly CallShare[]): number {
     return shares.reduce(
-      (sum, {stageKey, itemCount, configuredMs}) =>
-        sum + itemCount * this.getItemMs(stageKey, configuredMs),
+      (sum, {stageKey, pieceCount, configuredMs}) =>
+        sum + pieceCount * this.getPieceMs(stageKey, configuredMs),
       0,
     );
   }
@@ -92,9 +92,9 @@
     expectedMs,
     tookMs,
   }: TimedCall): void {
-    const fills = shares.map(({itemCount}) => itemCount / batchSize);
-    const norm = fills.reduce(
-      (sum, fill) => sum + fill * fill,
+    const fillRatios = shares.map(({pieceCount}) => pieceCount / batchSize);
+    const norm = fillRatios.reduce(
+      (sum, fillRatio) => sum + fillRatio * fillRatio,
       OVERHEAD_WEIGHT,
     );
     const stepMs = (LEARNING_RATE * (tookMs - expectedMs)) / norm;
@@ -105,17 +105,20 @@
       Math.min(MAX_OVERHEAD_MS, Math.max(-MAX_OVERHEAD_MS, overheadMs)),
     );
     shares.forEach(({stageKey, configuredMs}, index) => {
-      const before = this.getItemMs(stageKey, configuredMs);
-      const learnt = before + (stepMs * fills[index]) / batchSize;
-      const least = MIN_FACTOR * configuredMs;
-      const most = MAX_FACTOR * configuredMs;
-      this.itemMs.set(stageKey, Math.min(most, Math.max(least, learnt)));
+      const before = this.getPieceMs(stageKey, configuredMs);
+      const learnedMs = before + (stepMs * fillRatios[index]) / batchSize;
+      const minMs = MIN_FACTOR * configuredMs;
+      const maxMs = MAX_FACTOR * configuredMs;
+      this.pieceMs.set(stageKey, Math.min(maxMs, Math.max(minMs, learnedMs)));
     });
   }
 
   /** Records the fill ratio of a call that left pieces of its service waiting. */
-  recordFillRatio(service: string, fill: number): void {
+  recordFillRatio(service: string, fillRatio: number): void {
     const before = this.getFillRatio(service);
-    this.fills.set(service, before + (fill - before) * FILL_WEIGHT);
+    this.fillRatios.set(
+      service,
+      before + (fillRatio - before) * FILL_RATIO_WEIGHT,
+    );
   }
 }
--- a/packages/stages/src/stage-admission.test.ts
+++ b/packages/stages/src/stage-admission.test.ts
@@ -50,11 +50,11 @@
     clock,
     fleet: {
       getCapacity: () => CAPACITY,
-      findShortage: (): undefined => undefined,
-      countPlaces: () => 1,
+      findUnavailability: (): undefined => undefined,
+      countCallSlots: () => 1,
       countMemoryBytes: () => memoryBytes,
-      countHeldBytes: () => 0,
-      getHoldMs: (_, defaultMs) => defaultMs,
+      countStoredBytes: () => 0,
+      getRetentionMs: (_, defaultMs) => defaultMs,
     },
     times: new ServiceTimes(),
     random: getMiddle,
@@ -136,27 +136,27 @@
   const ask = (requestId: string, route: string) =>
     admission.judge(createRequest(requestId, {route, requestMs: 100}))
       .predictedMs;
-  const untaughtMs = ask('a', 'slow');
+  const initialMs = ask('a', 'slow');
   admission.recordFirstEvent('a', 400);
   admission.recordFirstEvent('unknown', 9000);
   admission.recordEnded('a');
-  assert.equal(ask('b', 'slow'), untaughtMs + 300);
+  assert.equal(ask('b', 'slow'), initialMs + 300);
   admission.recordEnded('b');
-  assert.equal(ask('c', 'other'), untaughtMs);
+  assert.equal(ask('c', 'other'), initialMs);
   admission.stop();
 });
 
 test('a request whose objective has passed is admitted behind those that can be in time', () => {
   const admission = createAdmission();
-  const inTime = () =>
+  const predictInTimeMs = () =>
     admission.judge(createRequest('in-time', {dueInMs: 1000})).predictedMs;
-  const aloneMs = inTime();
+  const aloneMs = predictInTimeMs();
   admission.recordEnded('in-time');
   for (const requestId of ['a', 'b', 'c']) {
     const late = createRequest(requestId, {dueInMs: -10});
     assert.equal(admission.judge(late).isAdmitted, true);
   }
-  assert.equal(inTime(), aloneMs);
+  assert.equal(predictInTimeMs(), aloneMs);
   admission.stop();
 });
 
@@ -180,11 +180,11 @@
     clock: new ManualClock(),
     fleet: {
       getCapacity: () => ({...CAPACITY, batchSize: 18, callMs: 240}),
-      findShortage: (): undefined => undefined,
-      countPlaces: () => 13,
+      findUnavailability: (): undefined => undefined,
+      countCallSlots: () => 13,
       countMemoryBytes: () => Infinity,
-      countHeldBytes: () => 0,
-      getHoldMs: (_, defaultMs) => defaultMs,
+      countStoredBytes: () => 0,
+      getRetentionMs: (_, defaultMs) => defaultMs,
     },
     times: new ServiceTimes(),
     random: getMiddle,
--- a/packages/stages/src/stage-admission.ts
+++ b/packages/stages/src/stage-admission.ts
@@ -16,11 +16,11 @@
 export type AdmissionFleet = Pick<
   StageFleet,
   | 'getCapacity'
-  | 'countPlaces'
+  | 'countCallSlots'
   | 'countMemoryBytes'
-  | 'countHeldBytes'
-  | 'getHoldMs'
-  | 'findShortage'
+  | 'countStoredBytes'
+  | 'getRetentionMs'
+  | 'findUnavailability'
 >;
 
 /** Dependencies of StageAdmission. */
@@ -52,7 +52,7 @@
 /**
  * Added to the priority of requests that can no longer be in time; 0 is the most urgent.
  */
-const LATE_STEP = 1000;
+const LATE_PRIORITY_STEP = 1000;
 /**
  * Share of the remaining time within which a late request must be predicted to begin its
  * answer: later requests that can be in time go before it, and callers abandon a stream
@@ -60,7 +60,7 @@
  * their deadline in overload, and the benchmark score fell from 0.580 to 0.543 (mean of five
  * simulated days).
  */
-const LATE_SHARE = 0.4;
+const LATE_START_SHARE = 0.4;
 /**
  * Safety factor on the predicted waits, which are the uncertain part of a prediction: half of
  * the requests wait longer than predicted. Only waits are scaled, so a chain of stages whose
@@ -73,12 +73,12 @@
  * Minimum share of the time until its objective that a request must spend waiting for others
  * to be refused; with a shorter wait a retry would do no better.
  */
-const MIN_HOLDUP_SHARE = 0.1;
+const MIN_WAIT_SHARE = 0.1;
 /**
  * Assumed retention of a result, in multiples of a call's fixed duration, until it is
  * learned.
  */
-const USUAL_HOLD_CALLS = 4;
+const DEFAULT_RETENTION_CALLS = 4;
 /**
  * Bounds of the retry delay as shares of the remaining time; the delay is drawn uniformly
  * between them. Callers wait for only about a third of it. Overload lasts for seconds, so a caller
@@ -99,27 +99,27 @@
   private readonly ledger = new PendingWorkTable();
   private readonly timers = new Map<string, Timer>();
   private readonly admitted = new Map<string, StageAdmissionRequest>();
-  private readonly firstTimes: FirstEventTimes;
+  private readonly firstEventTimes: FirstEventTimes;
 
   constructor(parts: StageAdmissionParts) {
     this.parts = parts;
-    this.firstTimes = new FirstEventTimes(parts.clock);
+    this.firstEventTimes = new FirstEventTimes(parts.clock);
   }
 
   /** Decides on a request and, if it is admitted, records its pending work. */
   judge(request: StageAdmissionRequest): StageAdmissionDecision {
     const aloneMs = this.predictAloneMs(request);
-    const shortage = this.findShortage(request);
-    const shortageMs = shortage ? getWaitMs(shortage) : 0;
-    const predictedMs = this.predictMs(request) + shortageMs;
+    const unavailability = this.findUnavailability(request);
+    const unavailableMs = unavailability ? getWaitMs(unavailability) : 0;
+    const predictedMs = this.predictMs(request) + unavailableMs;
     const waitMs = predictedMs - aloneMs;
     const ownMs = aloneMs - this.computeExtraMs(request);
     const isInTime = ownMs + waitMs * WAIT_MARGIN <= request.dueInMs;
-    if (shortage && !isInTime) {
-      const {reason, retryAfterMs} = shortage;
+    if (unavailability && !isInTime) {
+      const {reason, retryAfterMs} = unavailability;
       return {isAdmitted: false, predictedMs: 0, retryAfterMs, reason};
     }
-    if (isInTime || !isHeldUp(request, waitMs)) {
+    if (isInTime || !isDelayedByOthers(request, waitMs)) {
       return this.admit(request, predictedMs);
     }
     if (request.mayComeBack && request.dueInMs > 0) {
@@ -127,12 +127,15 @@
     }
     // The request is late in any case. It is admitted behind those that can be in time if
     // enough time is left to serve it.
-    const behind = {...request, priority: request.priority + LATE_STEP};
-    const behindMs = this.predictMs(behind);
-    if (behindMs > request.remainingMs * LATE_SHARE) {
-      return createRefusal(request, behindMs, this.parts.random());
+    const demoted = {
+      ...request,
+      priority: request.priority + LATE_PRIORITY_STEP,
+    };
+    const demotedMs = this.predictMs(demoted);
+    if (demotedMs > request.remainingMs * LATE_START_SHARE) {
+      return createRefusal(request, demotedMs, this.parts.random());
     }
-    return this.admit(behind, behindMs);
+    return this.admit(demoted, demotedMs);
   }
 
   /**
@@ -143,7 +146,11 @@
   recordFirstEvent(requestId: string, firstMs: number): void {
     const request = this.admitted.get(requestId);
     if (!request) return;
-    this.firstTimes.recordFirstEvent(request.route, request.ownTokens, firstMs);
+    this.firstEventTimes.recordFirstEvent(
+      request.route,
+      request.ownTokens,
+      firstMs,
+    );
   }
 
   /** Records whether pieces of a step still wait for calls or all are in flight. */
@@ -177,13 +184,13 @@
   }
 
   // Finds the unavailability that lasts longest; one without a known end counts as longest.
-  private findShortage({
+  private findUnavailability({
     steps,
   }: StageAdmissionRequest): Unavailability | undefined {
     const needed = steps.filter(({pieceCount}) => pieceCount > 0);
     return needed
-      .map(({service}) => this.parts.fleet.findShortage(service))
-      .filter(shortage => shortage !== undefined)
+      .map(({service}) => this.parts.fleet.findUnavailability(service))
+      .filter(unavailability => unavailability !== undefined)
       .sort((left, right) => getWaitMs(right) - getWaitMs(left))
       .at(0);
   }
@@ -206,7 +213,8 @@
     const stagesMs = predictFinishMs({
       steps: request.steps,
       getCapacity: service => fleet.getCapacity(service),
-      getPieceMs: ({stageKey}, {pieceMs}) => times.getItemMs(stageKey, pieceMs),
+      getPieceMs: ({stageKey}, {pieceMs}) =>
+        times.getPieceMs(stageKey, pieceMs),
       getWaitMs,
     });
     return stagesMs + this.predictFirstMs(request);
@@ -219,8 +227,8 @@
   // the rest.
   private computeExtraMs(request: StageAdmissionRequest): number {
     const {route, requestMs} = request;
-    const usualMs = this.firstTimes.predictMeanMs(route, requestMs);
-    return Math.max(0, this.predictFirstMs(request) - usualMs);
+    const meanMs = this.firstEventTimes.predictMeanMs(route, requestMs);
+    return Math.max(0, this.predictFirstMs(request) - meanMs);
   }
 
   private predictFirstMs({
@@ -228,7 +236,7 @@
     ownTokens,
     requestMs,
   }: StageAdmissionRequest): number {
-    return this.firstTimes.predictMs(route, ownTokens, requestMs);
+    return this.firstEventTimes.predictMs(route, ownTokens, requestMs);
   }
 
   private admit(
@@ -260,10 +268,10 @@
   private computeWork(step: StageStep, capacity: StageCapacity): WorkAhead {
     const {times} = this.parts;
     const {service, stageKey, pieceCount, resultBytes} = step;
-    const pieceMs = times.getItemMs(stageKey, capacity.pieceMs);
-    const fill = times.getFillRatio(service);
+    const pieceMs = times.getPieceMs(stageKey, capacity.pieceMs);
+    const fillRatio = times.getFillRatio(service);
     return {
-      workMs: computeWorkMs(capacity, pieceCount, pieceMs, fill),
+      workMs: computeWorkMs(capacity, pieceCount, pieceMs, fillRatio),
       resultBytes: pieceCount * resultBytes,
     };
   }
@@ -280,7 +288,7 @@
       priority,
       phase,
     );
-    const callsMs = workMs / this.parts.fleet.countPlaces(service);
+    const callsMs = workMs / this.parts.fleet.countCallSlots(service);
     return Math.max(callsMs, this.computeMemoryWaitMs(service, resultBytes));
   }
 
@@ -288,10 +296,13 @@
   private computeMemoryWaitMs(service: string, bytesAhead: number): number {
     const {fleet} = this.parts;
     const callMs = fleet.getCapacity(service)?.callMs ?? 0;
-    const holdMs = fleet.getHoldMs(service, USUAL_HOLD_CALLS * callMs);
-    const wantedBytes = bytesAhead + fleet.countHeldBytes(service);
+    const retentionMs = fleet.getRetentionMs(
+      service,
+      DEFAULT_RETENTION_CALLS * callMs,
+    );
+    const demandedBytes = bytesAhead + fleet.countStoredBytes(service);
     const memoryBytes = Math.max(1, fleet.countMemoryBytes(service));
-    return holdMs * Math.max(0, wantedBytes / memoryBytes - 1);
+    return retentionMs * Math.max(0, demandedBytes / memoryBytes - 1);
   }
 }
 
@@ -301,8 +312,11 @@
 
 // Whether waiting for others makes the request late. A request that is late by its own size
 // alone would also be late on a retry, so a refusal would not help.
-function isHeldUp({dueInMs}: StageAdmissionRequest, waitMs: number): boolean {
-  return dueInMs <= 0 || waitMs > dueInMs * MIN_HOLDUP_SHARE;
+function isDelayedByOthers(
+  {dueInMs}: StageAdmissionRequest,
+  waitMs: number,
+): boolean {
+  return dueInMs <= 0 || waitMs > dueInMs * MIN_WAIT_SHARE;
 }
 
 function isReady({steps}: StageAdmissionRequest, step: StageStep): boolean {
@@ -312,9 +326,9 @@
 function createRefusal(
   {remainingMs}: StageAdmissionRequest,
   predictedMs: number,
-  draw: number,
+  randomValue: number,
 ): StageAdmissionDecision {
   const {least, most} = RETRY_SHARES;
-  const retryAfterMs = remainingMs * (least + draw * (most - least));
+  const retryAfterMs = remainingMs * (least + randomValue * (most - least));
   return {isAdmitted: false, predictedMs, retryAfterMs};
 }
--- a/packages/stages/src/stage-back-off.test.ts
+++ b/packages/stages/src/stage-back-off.test.ts
@@ -33,7 +33,7 @@
  * Creates a coordinator with the upstreams `a` and `b`, which refuse the first `count` calls
  * with a retry delay of `forMs`.
  */
-function createCoordinator(turnAway: {count: number; forMs: number}) {
+function createCoordinator(refusals: {count: number; forMs: number}) {
   const clock = new ManualClock(0);
   const logger = new SilentEventLogger();
   const backOffs = new BackOffTable({clock, logger});
@@ -48,9 +48,9 @@
       const notRun = {type: 'not-run', isOtherUpstream: false} as const;
       if (!mayStillSend()) return notRun;
       callsAtMs.push({id, atMs: clock.getNow()});
-      if (turnAway.count > 0) {
-        turnAway.count -= 1;
-        backOffs.beginBackOff(id, turnAway.forMs);
+      if (refusals.count > 0) {
+        refusals.count -= 1;
+        backOffs.beginBackOff(id, refusals.forMs);
         return notRun;
       }
       await new Promise<void>(resolve => clock.schedule(CALL_MS, resolve));
@@ -175,12 +175,15 @@
     }
     return count;
   };
-  const usual = countAdmitted();
+  const initialCount = countAdmitted();
   backOffs.beginBackOff('a', 3000);
-  const half = countAdmitted();
-  assert.ok(half > 0 && half <= usual / 2 + 1, `${half} of ${usual}`);
+  const reducedCount = countAdmitted();
+  assert.ok(
+    reducedCount > 0 && reducedCount <= initialCount / 2 + 1,
+    `${reducedCount} of ${initialCount}`,
+  );
   backOffs.beginBackOff('b', 3000);
   assert.equal(countAdmitted(), 0);
   await clock.advance(4000);
-  assert.equal(countAdmitted(), usual);
+  assert.equal(countAdmitted(), initialCount);
 });
--- a/packages/stages/src/stage-call-log.ts
+++ b/packages/stages/src/stage-call-log.ts
@@ -7,7 +7,7 @@
 export interface AnsweredCall {
   readonly service: string;
   readonly upstreamId: string;
-  readonly taken: readonly InFlightPiece[];
+  readonly pieces: readonly InFlightPiece[];
   readonly outcomes: readonly PieceOutcome[];
   readonly tookMs: number;
   readonly expectedMs: number;
@@ -22,11 +22,11 @@
   logger: EventLogger,
   metrics: MetricsRegistry,
 ): void {
-  const {service, upstreamId, taken, tookMs} = call;
+  const {service, upstreamId, pieces, tookMs} = call;
   metrics.addToCounter(
     'hollowstack_stage_pieces_total',
     {service},
-    taken.length,
+    pieces.length,
   );
   metrics.recordLatency(
     'hollowstack_stage_call_seconds',
@@ -36,8 +36,8 @@
   logger.logEvent('stage.call', {
     service,
     upstream: upstreamId,
-    items: taken.length,
-    requests: [...new Set(taken.map(({job}) => job.requestId))].join(','),
+    items: pieces.length,
+    requests: [...new Set(pieces.map(({job}) => job.requestId))].join(','),
     tookMs: Math.round(tookMs),
     expectedMs: Math.round(call.expectedMs),
     noRoom: countFailed(call.outcomes, 'no-room'),
--- a/packages/stages/src/stage-caller.ts
+++ b/packages/stages/src/stage-caller.ts
@@ -36,7 +36,7 @@
   readonly isConnectionLost: boolean;
 }
 
-const NO_SIGNS: StageCallErrorDetails = {
+const NO_DETAILS: StageCallErrorDetails = {
   isUnreachable: false,
   isConnectionLost: false,
 };
@@ -45,10 +45,10 @@
 export class StageCallError extends Error {
   readonly details: StageCallErrorDetails;
 
-  constructor(message: string, signs = NO_SIGNS) {
+  constructor(message: string, details = NO_DETAILS) {
     super(message);
     this.name = 'StageCallError';
-    this.details = signs;
+    this.details = details;
   }
 }
 
@@ -84,12 +84,12 @@
     const {protocol, signals, clock} = this.parts;
     const {id, address} = target;
     const sentAtMs = clock.getNow();
-    let isWithdrawn = false;
+    let isSendCancelled = false;
     const request = protocol.createRunRequest(id, address, pieces);
     try {
       const {head, body} = await this.call(address, request, timeoutMs, () => {
-        isWithdrawn = !mayStillSend();
-        return !isWithdrawn;
+        isSendCancelled = !mayStillSend();
+        return !isSendCancelled;
       });
       const answer = {
         status: head.statusCode ?? 0,
@@ -105,11 +105,11 @@
       return protocol.parseRunAnswer(answer, pieces.length);
     } catch (error) {
       // This instance cancelled the send, so the upstream is not at fault.
-      if (isWithdrawn) return {type: 'not-run', isOtherUpstream: false};
+      if (isSendCancelled) return {type: 'not-run', isOtherUpstream: false};
       const message = error instanceof Error ? error.message : String(error);
       throw new StageCallError(message, {
         isUnreachable: isUnreachable(error),
-        isConnectionLost: isLost(error),
+        isConnectionLost: isBrokenConnection(error),
       });
     }
   }
@@ -155,7 +155,7 @@
 }
 
 // A call that timed out was ended by this instance, not by the upstream.
-function isLost(error: unknown): boolean {
+function isBrokenConnection(error: unknown): boolean {
   if (error instanceof AnswerTimeoutError || isUnreachable(error)) return false;
   return isConnectionLost(error);
 }
--- a/packages/stages/src/stage-coordinator.ts
+++ b/packages/stages/src/stage-coordinator.ts
@@ -53,7 +53,7 @@
 }
 
 /** Interval between plans while jobs wait; other events trigger a plan earlier. */
-const REPLAN_MS = 20;
+const REPLAN_INTERVAL_MS = 20;
 
 /**
  * Batches the pieces of many requests, submitted by all instances, into calls to the
@@ -87,7 +87,7 @@
       clock: parts.clock,
       caller: parts.caller,
       getWaitMs: address => this.fleet.getReleaseWaitMs(address),
-      getGatherMs: address => this.fleet.getReleaseIntervalMs(address),
+      getBatchDelayMs: address => this.fleet.getReleaseIntervalMs(address),
       handleReleased: handles => {
         this.fleet.recordReleased(handles);
         this.scheduleCalls();
@@ -225,7 +225,7 @@
     for (const service of services) this.runServiceCalls(service, nowMs);
     if (services.size > 0) {
       this.timer?.cancel();
-      this.timer = this.parts.clock.schedule(REPLAN_MS, () =>
+      this.timer = this.parts.clock.schedule(REPLAN_INTERVAL_MS, () =>
         this.runDueCalls(),
       );
     }
@@ -234,9 +234,9 @@
   private runServiceCalls(service: string, nowMs: number): void {
     const capacity = this.fleet.getCapacity(service);
     if (!capacity) return;
-    const shortage = this.fleet.findShortage(service);
-    if (shortage !== undefined) {
-      this.jobs.failUnservable(service, shortage, capacity);
+    const unavailability = this.fleet.findUnavailability(service);
+    if (unavailability !== undefined) {
+      this.jobs.failUnservable(service, unavailability, capacity);
       return;
     }
     const probe = this.fleet.findDueProbe(service, capacity);
@@ -246,9 +246,9 @@
       const free = this.fleet.listFree(service, capacity, waiting);
       batches = this.assembleCalls(service, capacity, free);
     }
-    const isLoaded = this.hasBatchLeft(service, capacity, batches);
+    const hasBacklog = this.hasBatchWaiting(service, capacity, batches);
     for (const batch of batches) {
-      void this.runner.runBatch(batch, {capacity, nowMs, hasBacklog: isLoaded});
+      void this.runner.runBatch(batch, {capacity, nowMs, hasBacklog});
     }
   }
 
@@ -258,7 +258,7 @@
     free: readonly StageUpstream[],
   ): Batch[] {
     const nowMs = this.parts.clock.getNow();
-    const used = this.fleet.listActive(service);
+    const active = this.fleet.listActive(service);
     return assembleBatches({
       nowMs,
       capacity,
@@ -270,9 +270,9 @@
         slowness: upstream.getSlowness(nowMs),
         idleSinceMs: upstream.idleSinceMs,
       })),
-      domainsInUse: new Set(used.map(({record}) => record.failureDomain)),
-      upstreamsInUse: used.length,
-      hasNormalSpeedUpstream: used.some(
+      domainsInUse: new Set(active.map(({record}) => record.failureDomain)),
+      upstreamsInUse: active.length,
+      hasNormalSpeedUpstream: active.some(
         upstream => upstream.getSlowness(nowMs) < SLOW_FACTOR,
       ),
     });
@@ -280,16 +280,16 @@
 
   // If less than a full batch is left waiting, the load limits the size of the calls, so
   // their fill ratio says nothing about how full calls can get.
-  private hasBatchLeft(
+  private hasBatchWaiting(
     service: string,
     {batchSize}: StageCapacity,
     batches: readonly Batch[],
   ): boolean {
-    let left = this.jobs.countWaitingPieces(service);
+    let remainingCount = this.jobs.countWaitingPieces(service);
     for (const {parts} of batches) {
-      for (const {pieceCount} of parts) left -= pieceCount;
+      for (const {pieceCount} of parts) remainingCount -= pieceCount;
     }
-    return left >= batchSize;
+    return remainingCount >= batchSize;
   }
 
   private recordPhase({job, waitingCount}: JobState): void {
--- a/packages/stages/src/stage-dispatcher.ts
+++ b/packages/stages/src/stage-dispatcher.ts
@@ -53,7 +53,7 @@
 export class StageDispatcher {
   private readonly parts: StageDispatcherParts;
   private readonly peerWatch: PeerWatch;
-  private lastCoordinator = '';
+  private lastCoordinatorId = '';
 
   constructor(parts: StageDispatcherParts) {
     this.parts = parts;
@@ -112,11 +112,11 @@
       outcome = await this.attemptJob(job, signal);
       if (outcome) return outcome;
     }
-    return this.runAlone(unsent, startedAtMs, signal);
+    return this.runWithoutCoordinator(unsent, startedAtMs, signal);
   }
 
   // Used if no coordinator answers.
-  private runAlone(
+  private runWithoutCoordinator(
     unsent: UnsentStageJob,
     startedAtMs: number,
     signal: AbortSignal,
@@ -148,12 +148,12 @@
       this.parts.local.releaseResults(results);
       return;
     }
-    const note: PeerNotification = {
+    const notification: PeerNotification = {
       type: 'stage-release',
       results: [...results],
     };
     this.parts.notes
-      .sendNotification(coordinator.address, note)
+      .sendNotification(coordinator.address, notification)
       .catch(() => this.parts.local.releaseResults(results));
   }
 
@@ -200,7 +200,7 @@
         .catch(() => {});
     };
     signal.addEventListener('abort', cancelJob, {once: true});
-    const watching = this.peerWatch.beginWatching(coordinator);
+    const watchHandle = this.peerWatch.beginWatching(coordinator);
     try {
       const reply = await Promise.race([
         link.sendRequest(
@@ -208,7 +208,7 @@
           {type: 'stage-job', job},
           job.remainingMs + REPLY_MARGIN_MS,
         ),
-        watching.failed,
+        watchHandle.failed,
       ]);
       if (reply?.type === 'stage-outcome') return reply.outcome;
       membership.recordUnreachable(id);
@@ -217,18 +217,18 @@
       membership.recordUnreachable(id);
       return undefined;
     } finally {
-      watching.end();
+      watchHandle.end();
       signal.removeEventListener('abort', cancelJob);
     }
   }
 
   private recordCoordinator(id: string): void {
-    if (id === this.lastCoordinator) return;
+    if (id === this.lastCoordinatorId) return;
     this.parts.logger.logEvent('stage.coordinator', {
       coordinator: id,
-      before: this.lastCoordinator,
+      before: this.lastCoordinatorId,
       members: this.parts.membership.getLiveCount(),
     });
-    this.lastCoordinator = id;
+    this.lastCoordinatorId = id;
   }
 }
--- a/packages/stages/src/stage-fleet.ts
+++ b/packages/stages/src/stage-fleet.ts
@@ -15,7 +15,7 @@
 import {StageUpstream} from './stage-upstream.ts';
 
 /** Factor by which results may exceed the size configured for their stage. */
-const SIZE_MARGIN = 1.05;
+const RESULT_SIZE_FACTOR = 1.05;
 
 /** The part of the back-off table that StageFleet uses. */
 export type StageBackOffs = Pick<
@@ -58,7 +58,7 @@
 /**
  * Minimum call slots of a service whose upstreams are all limited; avoids division by 0.
  */
-const MIN_LIMITED_PLACES = 0.01;
+const MIN_LIMITED_SLOTS = 0.01;
 
 /** The upstreams of all stage services and their free result memory. */
 export class StageFleet {
@@ -66,8 +66,8 @@
   private readonly backOffs: StageBackOffs;
   private readonly limiter: StageLimiter;
   private readonly times: StageFleetParts['times'];
-  private readonly room = new ResultMemory();
-  private readonly holdTimes: DurationEstimator;
+  private readonly resultMemory = new ResultMemory();
+  private readonly retentionTimes: DurationEstimator;
   private readonly upstreams = new Map<string, StageUpstream>();
   private capacities: ReadonlyMap<string, StageCapacity> = new Map();
 
@@ -76,7 +76,7 @@
     this.backOffs = backOffs;
     this.limiter = limiter;
     this.times = times;
-    this.holdTimes = new DurationEstimator(clock);
+    this.retentionTimes = new DurationEstimator(clock);
   }
 
   /** Replaces the configured capacity of each stage service. */
@@ -101,7 +101,7 @@
     for (const id of this.upstreams.keys()) {
       if (listed.has(id)) continue;
       this.upstreams.delete(id);
-      this.room.removeUpstream(id);
+      this.resultMemory.removeUpstream(id);
     }
     for (const record of records) {
       const known = this.upstreams.get(record.id);
@@ -165,7 +165,7 @@
    * Returns why no upstream of a service can take work; undefined if one can, or if no
    * registrations are known yet.
    */
-  findShortage(service: string): Unavailability | undefined {
+  findUnavailability(service: string): Unavailability | undefined {
     if (this.upstreams.size === 0) return undefined;
     const records = this.listOfService(service).map(({record}) => record);
     return findUnavailability(service, records, id =>
@@ -219,31 +219,32 @@
    * Counts the calls that a service can run at a time. Slow and limited upstreams count in
    * part. The minimum is 1 unless all upstreams advertise a limit.
    */
-  countPlaces(service: string): number {
+  countCallSlots(service: string): number {
     const usable = this.listUsable(service);
-    const places = usable.reduce(
-      (sum, upstream) => sum + this.countUpstreamPlaces(upstream),
+    const slots = usable.reduce(
+      (sum, upstream) => sum + this.countUpstreamSlots(upstream),
       0,
     );
     const areAllLimited =
       usable.length > 0 &&
       usable.every(({record}) => this.limiter.isLimited(record.id));
-    return Math.max(areAllLimited ? MIN_LIMITED_PLACES : 1, places);
+    return Math.max(areAllLimited ? MIN_LIMITED_SLOTS : 1, slots);
   }
 
-  private countUpstreamPlaces(upstream: StageUpstream): number {
+  private countUpstreamSlots(upstream: StageUpstream): number {
     const {id, service} = upstream.record;
     const {concurrency = 1, callMs = 0} = this.getCapacity(service) ?? {};
-    const places = concurrency / upstream.getSlowness(this.clock.getNow());
+    const slots = concurrency / upstream.getSlowness(this.clock.getNow());
     const perSecond = this.limiter.getCallRate(id);
-    if (perSecond === undefined) return places;
-    return Math.min(places, (perSecond * callMs) / 1000);
+    if (perSecond === undefined) return slots;
+    return Math.min(slots, (perSecond * callMs) / 1000);
   }
 
   /** Counts the bytes of result memory of the usable upstreams of a service. */
   countMemoryBytes(service: string): number {
     const nowMs = this.clock.getNow();
-    const bytes = (this.getCapacity(service)?.resultBytes ?? 0) / SIZE_MARGIN;
+    const bytes =
+      (this.getCapacity(service)?.resultBytes ?? 0) / RESULT_SIZE_FACTOR;
     return this.listUsable(service).reduce(
       (sum, upstream) => sum + bytes - upstream.getUntrackedBytes(nowMs),
       0,
@@ -253,44 +254,45 @@
   /** Counts the free bytes of an upstream's result memory. */
   countFreeBytes(upstream: StageUpstream): number {
     const {id, service} = upstream.record;
-    const bytes = (this.getCapacity(service)?.resultBytes ?? 0) / SIZE_MARGIN;
-    const unknown = upstream.getUntrackedBytes(this.clock.getNow());
-    return bytes - this.getUsedBytes(id) - unknown;
+    const bytes =
+      (this.getCapacity(service)?.resultBytes ?? 0) / RESULT_SIZE_FACTOR;
+    const untrackedBytes = upstream.getUntrackedBytes(this.clock.getNow());
+    return bytes - this.getUsedBytes(id) - untrackedBytes;
   }
 
   /** Returns the reserved and stored bytes at an upstream. */
   getUsedBytes(upstreamId: string): number {
-    return this.room.getUsedBytes(upstreamId);
+    return this.resultMemory.getUsedBytes(upstreamId);
   }
 
   /** Counts the bytes of stored results of a service, reservations excluded. */
-  countHeldBytes(service: string): number {
-    return this.room.countStoredBytes(service);
+  countStoredBytes(service: string): number {
+    return this.resultMemory.countStoredBytes(service);
   }
 
   /** Returns the learned mean retention of a service's results in milliseconds. */
-  getHoldMs(service: string, defaultMs: number): number {
-    return this.holdTimes.getMeanMs(service, defaultMs);
+  getRetentionMs(service: string, defaultMs: number): number {
+    return this.retentionTimes.getMeanMs(service, defaultMs);
   }
 
   /** Reserves memory for a result before its call. */
   reserveBytes(upstreamId: string, bytes: number): void {
-    this.room.reserve(upstreamId, bytes);
+    this.resultMemory.reserve(upstreamId, bytes);
   }
 
   /** Cancels a reservation whose call brought no result. */
   cancelReservation(upstreamId: string, bytes: number): void {
-    this.room.cancelReservation(upstreamId, bytes);
+    this.resultMemory.cancelReservation(upstreamId, bytes);
   }
 
   /** Converts a reservation to a stored result. */
   recordResult(handle: string, result: StoredResult): void {
-    this.room.recordResult(handle, result);
+    this.resultMemory.recordResult(handle, result);
   }
 
   /** Finds a stored result that a call of this instance produced. */
-  findHeldInput(handle: string): StoredInput | undefined {
-    const upstreamId = this.room.findUpstreamId(handle);
+  findStoredInput(handle: string): StoredInput | undefined {
+    const upstreamId = this.resultMemory.findUpstreamId(handle);
     const record = this.upstreams.get(upstreamId ?? '')?.record;
     if (!record) return undefined;
     const {id, address, failureDomain} = record;
@@ -299,7 +301,7 @@
 
   /** Lists the stored results whose owner is known, oldest first. */
   listOwnedResults(): OwnedResult[] {
-    return this.room.listOwned();
+    return this.resultMemory.listOwned();
   }
 
   /** Returns whether an upstream of stages is registered at an address. */
@@ -320,15 +322,15 @@
   recordReleased(handles: readonly string[]): void {
     const nowMs = this.clock.getNow();
     for (const handle of handles) {
-      const result = this.room.release(handle);
+      const result = this.resultMemory.release(handle);
       if (!result) continue;
-      this.holdTimes.recordMs(result.service, nowMs - result.reservedAtMs);
+      this.retentionTimes.recordMs(result.service, nowMs - result.reservedAtMs);
     }
   }
 
   /** Removes results that have expired at their upstreams. */
   removeExpired(): void {
-    this.room.removeExpired(this.clock.getNow());
+    this.resultMemory.removeExpired(this.clock.getNow());
   }
 
   private listCallable(
--- a/packages/stages/src/stage-upstream.ts
+++ b/packages/stages/src/stage-upstream.ts
@@ -20,7 +20,7 @@
 const SLOWNESS_WEIGHT = 0.3;
 
 /** Time for which untracked bytes are assumed to stay in use. */
-const UNKNOWN_ROOM_MS = 400;
+const UNTRACKED_BYTES_TTL_MS = 400;
 
 /** The coordinator's state of one upstream of a stage service. */
 export class StageUpstream {
@@ -30,8 +30,8 @@
   /** End of the pause after the upstream refused a call without naming a retry delay. */
   pausedUntilMs = 0;
   private readonly backOffs: Pick<BackOffTable, 'maySend'>;
-  private unknownBytes = 0;
-  private unknownUntilMs = 0;
+  private untrackedBytes = 0;
+  private untrackedUntilMs = 0;
   private readonly slowness = new Slowness(SLOWNESS_WEIGHT);
   private health: HealthState = createHealthyState();
 
@@ -74,14 +74,14 @@
    * upstream.
    */
   getUntrackedBytes(nowMs: number): number {
-    return nowMs < this.unknownUntilMs ? this.unknownBytes : 0;
+    return nowMs < this.untrackedUntilMs ? this.untrackedBytes : 0;
   }
 
   /** Records that the upstream has less free result memory than computed. */
   addUntrackedBytes(bytes: number, nowMs: number): void {
     if (bytes <= 0) return;
-    this.unknownBytes = this.getUntrackedBytes(nowMs) + bytes;
-    this.unknownUntilMs = nowMs + UNKNOWN_ROOM_MS;
+    this.untrackedBytes = this.getUntrackedBytes(nowMs) + bytes;
+    this.untrackedUntilMs = nowMs + UNTRACKED_BYTES_TTL_MS;
   }
 
   beginCall(): void {
