--- a/packages/stages/src/batch-plan.ts
+++ b/packages/stages/src/batch-plan.ts
@@ -83,7 +83,7 @@
 export const SLOW_FACTOR = 2;
 /** Wait, about one call long, after which slow upstreams are used as well. */
 const SLOW_UPSTREAM_WAIT_MS = 200;
-/** One step of priority outweighs a due time that is this much earlier. */
+/** Difference in due time that one step of priority outweighs. */
 const PRIORITY_STEP_MS = 300;
 /** Ranks jobs that can no longer be in time after all jobs that still can. */
 const LATE_PENALTY_MS = 100_000;
--- a/packages/stages/src/early-input-releaser.test.ts
+++ b/packages/stages/src/early-input-releaser.test.ts
@@ -42,7 +42,7 @@
  */
 function createChain(options: {
   readonly memory: number;
-  readonly releasesRead?: boolean;
+  readonly releasesInputsEarly?: boolean;
   /** Number of upstreams of each stage. */
   readonly upstreams?: number;
 }) {
@@ -95,7 +95,7 @@
     backOffs: new BackOffTable({clock, logger}),
     limiter: NO_LIMITS,
     random: getMiddle,
-    releasesInputsEarly: options.releasesRead ?? true,
+    releasesInputsEarly: options.releasesInputsEarly ?? true,
   });
   const services = [
     createService('make', options.memory),
@@ -214,8 +214,8 @@
 });
 
 /** Runs more chains than the upstreams can serve for 8 s and counts the finished ones. */
-async function countChains(releasesRead: boolean) {
-  const chain = createChain({memory: 20, releasesRead, upstreams: 4});
+async function countChains(releasesInputsEarly: boolean) {
+  const chain = createChain({memory: 20, releasesInputsEarly, upstreams: 4});
   const {clock, coordinator, calls} = chain;
   let doneCount = 0;
   const runOne = async () => {
--- a/packages/stages/src/learned-call-times.test.ts
+++ b/packages/stages/src/learned-call-times.test.ts
@@ -51,7 +51,7 @@
 interface Truth {
   /** Fixed milliseconds of a call, in addition to those of its pieces. */
   readonly callMs: number;
-  readonly itemMs: number;
+  readonly pieceMs: number;
   /** Factor on the duration of all calls at each upstream. */
   readonly slowness: Readonly<Record<string, number>>;
 }
@@ -68,8 +68,8 @@
     {id}: {id: string},
     pieces: readonly StagePiece[],
   ) => {
-    const {callMs, itemMs, slowness} = truth;
-    const tookMs = (callMs + itemMs * pieces.length) * (slowness[id] ?? 1);
+    const {callMs, pieceMs, slowness} = truth;
+    const tookMs = (callMs + pieceMs * pieces.length) * (slowness[id] ?? 1);
     await new Promise<void>(resolve => clock.schedule(tookMs, resolve));
     const outcomes = pieces.map(
       ({requestId}) =>
@@ -128,23 +128,23 @@
 }
 
 test('expected durations match the real ones if calls have an additional fixed duration', async () => {
-  const ratios = await runWaves({callMs: 252, itemMs: 4, slowness: {}});
+  const ratios = await runWaves({callMs: 252, pieceMs: 4, slowness: {}});
   checkNear(ratios, 0.95, 1.05);
 });
 
 test('expected durations match the real ones if all calls are faster than configured', async () => {
-  const ratios = await runWaves({callMs: 240, itemMs: 1.2, slowness: {}});
+  const ratios = await runWaves({callMs: 240, pieceMs: 1.2, slowness: {}});
   checkNear(ratios, 0.95, 1.05);
 });
 
 test('expected durations match the real ones if all calls are slower than configured', async () => {
-  const ratios = await runWaves({callMs: 260, itemMs: 7, slowness: {}});
+  const ratios = await runWaves({callMs: 260, pieceMs: 7, slowness: {}});
   checkNear(ratios, 0.93, 1.05);
 });
 
 test('one slow upstream does not change the expected durations of the others', async () => {
   const slowness = {a: 1.6};
-  const ratios = await runWaves({callMs: 240, itemMs: 4, slowness});
+  const ratios = await runWaves({callMs: 240, pieceMs: 4, slowness});
   ratios.delete('a');
   checkNear(ratios, 0.94, 1.06);
 });
--- a/packages/stages/src/stage-admission.ts
+++ b/packages/stages/src/stage-admission.ts
@@ -81,8 +81,8 @@
 const DEFAULT_RETENTION_CALLS = 4;
 /**
  * Bounds of the retry delay as shares of the remaining time; the delay is drawn uniformly
- * between them. Callers wait for only about a third of it. Overload lasts for seconds, so a caller
- * that retries sooner is refused again, or is admitted late and takes the capacity of a
+ * between them. Callers wait for only about a third of it. Overload lasts for seconds, so a
+ * caller that retries sooner is refused again, or is admitted late and takes the capacity of a
  * request that would be in time. With a delay of 0.4 s or more for all requests, a class of
  * requests that is refused in bursts was finally refused 261 times out of 3,040, with these
  * shares 57 to 84 times (five runs).
@@ -90,13 +90,14 @@
 const RETRY_SHARES = {least: 0.2, most: 0.3} as const;
 
 /**
- * Decides whether the stages of a request can be done in time. A request that would be late
- * is refused at once, with a retry delay, if its caller has time for a retry. Otherwise it is
- * admitted with a lower priority, unless too little time would be left to serve it.
+ * Decides whether the stages of a request can be done in time. A request that others would
+ * make late is refused at once, with a retry delay, if its caller has time for a retry.
+ * Otherwise it is admitted with a lower priority, unless too little time would be left to
+ * serve it. A request that is late by its own size alone is admitted as it is.
  */
 export class StageAdmission {
   private readonly parts: StageAdmissionParts;
-  private readonly ledger = new PendingWorkTable();
+  private readonly pendingWork = new PendingWorkTable();
   private readonly timers = new Map<string, Timer>();
   private readonly admitted = new Map<string, StageAdmissionRequest>();
   private readonly firstEventTimes: FirstEventTimes;
@@ -160,12 +161,12 @@
     step: number,
     phase: 'queued' | 'running',
   ): void {
-    this.ledger.setPhase(service, requestId, step, phase);
+    this.pendingWork.setPhase(service, requestId, step, phase);
   }
 
   /** Removes the pending work of a step that is done. */
   recordDone(service: string, requestId: string, step: number): void {
-    this.ledger.removeStep(service, requestId, step);
+    this.pendingWork.removeStep(service, requestId, step);
   }
 
   /** Removes all pending work of a request. */
@@ -175,7 +176,7 @@
     this.timers.get(requestId)?.cancel();
     this.timers.delete(requestId);
     request?.steps.forEach(({service}, step) =>
-      this.ledger.removeStep(service, requestId, step),
+      this.pendingWork.removeStep(service, requestId, step),
     );
   }
 
@@ -251,7 +252,7 @@
       const {service, pieceCount} = step;
       const capacity = fleet.getCapacity(service);
       if (!capacity || pieceCount === 0) return;
-      this.ledger.addStep(service, requestId, index, {
+      this.pendingWork.addStep(service, requestId, index, {
         ...this.computeWork(step, capacity),
         priority,
         phase: isReady(request, step) ? 'queued' : 'planned',
@@ -283,7 +284,7 @@
     priority: number,
     phase: 'queued' | 'planned',
   ): number {
-    const {workMs, resultBytes} = this.ledger.computeWorkAhead(
+    const {workMs, resultBytes} = this.pendingWork.computeWorkAhead(
       service,
       priority,
       phase,
