--- a/packages/peers/src/packed-text.test.ts
+++ b/packages/peers/src/compressed-text.test.ts
@@ -20,29 +20,32 @@
 });
 
 test('a configuration of 1,900 routes goes to peers in a sixth of its size or less', () => {
-  const packed = new TextCompressor().encodeText(CONFIGURATION, true);
-  assert.ok(packed instanceof Uint8Array);
-  assert.ok(packed.length * 6 < CONFIGURATION.length, `${packed.length}`);
-  assert.equal(decodeText(packed), CONFIGURATION);
+  const compressed = new TextCompressor().encodeText(CONFIGURATION, true);
+  assert.ok(compressed instanceof Uint8Array);
+  assert.ok(
+    compressed.length * 6 < CONFIGURATION.length,
+    `${compressed.length}`,
+  );
+  assert.equal(decodeText(compressed), CONFIGURATION);
 });
 
 test('a text is deflated once for all peers', () => {
-  const packer = new TextCompressor();
-  const first = packer.encodeText(CONFIGURATION, true);
-  assert.equal(packer.encodeText(CONFIGURATION, true), first);
+  const compressor = new TextCompressor();
+  const first = compressor.encodeText(CONFIGURATION, true);
+  assert.equal(compressor.encodeText(CONFIGURATION, true), first);
 });
 
 test('short texts, and those for peers that do not know better, go as they are', () => {
-  const packer = new TextCompressor();
-  assert.equal(packer.encodeText('short', true), 'short');
-  assert.equal(packer.encodeText(CONFIGURATION, false), CONFIGURATION);
+  const compressor = new TextCompressor();
+  assert.equal(compressor.encodeText('short', true), 'short');
+  assert.equal(compressor.encodeText(CONFIGURATION, false), CONFIGURATION);
 });
 
 test('bytes that are no deflated text, or too long a one, are an error of the frame', () => {
   assert.throws(() => decodeText(new Uint8Array([1, 2, 3])), FrameError);
-  const bomb = new TextCompressor().encodeText(
+  const oversized = new TextCompressor().encodeText(
     ' '.repeat(9 * 1024 * 1024),
     true,
   );
-  assert.throws(() => decodeText(bomb), FrameError);
+  assert.throws(() => decodeText(oversized), FrameError);
 });
--- a/packages/peers/src/compressed-text.ts
+++ b/packages/peers/src/compressed-text.ts
@@ -10,15 +10,15 @@
 export type CompressedText = z.infer<typeof compressedTextSchema>;
 
 /** A deflated text. */
-type PackedBytes = Exclude<CompressedText, string>;
+type CompressedBytes = Exclude<CompressedText, string>;
 
 /**
  * Characters from which on a text is deflated; a registration of an upstream, which
  * would gain little, has some 300.
  */
-const MIN_PACKED_LENGTH = 8192;
+const MIN_COMPRESSED_CHARACTERS = 8192;
 /** Packed texts that are remembered: the newest configurations. */
-const MAX_REMEMBERED = 4;
+const MAX_CACHED_TEXTS = 4;
 /** zlib's fastest level; the higher ones take three times as long for a tenth less. */
 const DEFLATE_LEVEL = 1;
 
@@ -28,27 +28,28 @@
  * would need 5 s as it is; deflated it is a tenth of that or less.
  */
 export class TextCompressor {
-  private readonly packed = new Map<string, PackedBytes>();
+  private readonly compressedByText = new Map<string, CompressedBytes>();
 
   /**
    * Returns the text as it is sent.
    *
-   * @param isTaken Whether the peer understands deflated texts.
+   * @param isCompressionSupported Whether the peer understands deflated texts.
    */
-  encodeText(text: string, isTaken: boolean): CompressedText {
-    if (!isTaken || text.length < MIN_PACKED_LENGTH) return text;
-    const known = this.packed.get(text);
-    if (known) return known;
+  encodeText(text: string, isCompressionSupported: boolean): CompressedText {
+    if (!isCompressionSupported || text.length < MIN_COMPRESSED_CHARACTERS)
+      return text;
+    const cached = this.compressedByText.get(text);
+    if (cached) return cached;
     const bytes = new Uint8Array(deflateRawSync(text, {level: DEFLATE_LEVEL}));
-    this.packed.set(text, bytes);
+    this.compressedByText.set(text, bytes);
     this.removeOldest();
     return bytes;
   }
 
   private removeOldest(): void {
-    if (this.packed.size <= MAX_REMEMBERED) return;
-    const [oldest] = this.packed.keys();
-    this.packed.delete(oldest);
+    if (this.compressedByText.size <= MAX_CACHED_TEXTS) return;
+    const [oldest] = this.compressedByText.keys();
+    this.compressedByText.delete(oldest);
   }
 }
 
@@ -57,11 +58,11 @@
  *
  * @throws FrameError where it cannot be inflated within the size of a frame.
  */
-export function decodeText(packed: CompressedText): string {
-  if (typeof packed === 'string') return packed;
+export function decodeText(text: CompressedText): string {
+  if (typeof text === 'string') return text;
   try {
     const options = {maxOutputLength: MAX_FRAME_BYTES};
-    return inflateRawSync(packed, options).toString('utf8');
+    return inflateRawSync(text, options).toString('utf8');
   } catch (error) {
     const reason = error instanceof Error ? error.message : String(error);
     throw new FrameError(`a deflated text cannot be read: ${reason}`);
--- a/packages/peers/src/coordinator.test.ts
+++ b/packages/peers/src/coordinator.test.ts
@@ -18,7 +18,7 @@
 } from './index.ts';
 
 /** Milliseconds for which a peer that did not answer is left alone here. */
-const BAN_MS = 200;
+const COOLDOWN_MS = 200;
 
 class EmptyStore extends KeyValueStore {
   putCount = 0;
@@ -70,7 +70,7 @@
   return {type: 'delete', key: PEER_PREFIX + id, value: '', modRevision};
 }
 
-function getMiddle(): number {
+function getHalf(): number {
   return 0.5;
 }
 
@@ -90,7 +90,7 @@
     self: {id: 'self', address: '10.0.0.1:1', failureDomain: 'a'},
     store,
     clock,
-    random: getMiddle,
+    random: getHalf,
   });
 }
 
@@ -166,7 +166,7 @@
   const membership = createMembership(store);
   await membership.refresh();
   const listIds = () =>
-    listUnconfirmedCandidates(membership, BAN_MS).map(({id}) => id);
+    listUnconfirmedCandidates(membership, COOLDOWN_MS).map(({id}) => id);
   assert.deepEqual(listIds(), [first, second, third]);
   membership.recordUnreachable(first);
   membership.handleEvents([createPut(second, 8, 1.35)]);
@@ -180,9 +180,9 @@
   membership.handleEvents([createPut('strong', 3, 2)]);
   membership.recordUnreachable('strong');
   const listIds = () =>
-    listUnconfirmedCandidates(membership, BAN_MS).map(({id}) => id);
+    listUnconfirmedCandidates(membership, COOLDOWN_MS).map(({id}) => id);
   assert.deepEqual(listIds(), []);
-  await clock.advance(BAN_MS + 1);
+  await clock.advance(COOLDOWN_MS + 1);
   assert.deepEqual(listIds(), ['strong']);
   membership.recordContact(createRecord('strong', 2));
   assert.equal(getCoordinatorId(membership), 'strong');
--- a/packages/peers/src/coordinator.ts
+++ b/packages/peers/src/coordinator.ts
@@ -8,7 +8,7 @@
  * Share of the most processor that an instance needs in order to coordinate;
  * equal machines differ by less in what they report.
  */
-const STRONG_SHARE = 0.9;
+const MIN_CORES_RATIO = 0.9;
 
 /**
  * Chooses the instance that decides for all: of those known to live and with
@@ -30,10 +30,10 @@
 
 function findCoordinator(membership: Membership): PeerRecord | undefined {
   const peers = membership.listConfirmedPeers();
-  const isSelfOut = membership.isLeaving() && peers.length > 0;
-  const candidates = isSelfOut ? peers : [membership.getSelf(), ...peers];
-  const first = findFirst(candidates);
-  return peers.find(({id}) => id === first);
+  const isSelfExcluded = membership.isLeaving() && peers.length > 0;
+  const candidates = isSelfExcluded ? peers : [membership.getSelf(), ...peers];
+  const preferredId = findPreferredId(candidates);
+  return peers.find(({id}) => id === preferredId);
 }
 
 /**
@@ -41,30 +41,32 @@
  * the present one, the first of them first. Others need not be asked whether
  * they live.
  *
- * @param banMs Milliseconds for which a peer that did not answer is left alone.
+ * @param cooldownMs Milliseconds for which a peer that did not answer is left alone.
  */
 export function listUnconfirmedCandidates(
   membership: Membership,
-  banMs: number,
+  cooldownMs: number,
 ): PeerRecord[] {
-  const present = chooseCoordinator(membership) ?? membership.getSelf();
+  const current = chooseCoordinator(membership) ?? membership.getSelf();
   return membership
-    .listUnconfirmedPeers(banMs)
-    .filter(peer => getCores(peer) >= STRONG_SHARE * getCores(present))
-    .filter(peer => findFirst([peer, present]) === peer.id)
-    .sort((left, right) => (findFirst([left, right]) === left.id ? -1 : 1));
+    .listUnconfirmedPeers(cooldownMs)
+    .filter(peer => getCores(peer) >= MIN_CORES_RATIO * getCores(current))
+    .filter(peer => findPreferredId([peer, current]) === peer.id)
+    .sort((left, right) =>
+      findPreferredId([left, right]) === left.id ? -1 : 1,
+    );
 }
 
-function findFirst(instances: readonly PeerRecord[]): string {
-  return listByRendezvous(COORDINATOR_KEY, listStrongest(instances))[0];
+function findPreferredId(instances: readonly PeerRecord[]): string {
+  return listByRendezvous(COORDINATOR_KEY, listIdsWithMostCores(instances))[0];
 }
 
 // Deciding for all costs more the larger the fleet is, and the smallest
 // instances of a fleet may have a fraction of the largest ones' processor.
-function listStrongest(instances: readonly PeerRecord[]): string[] {
-  const most = Math.max(...instances.map(getCores));
+function listIdsWithMostCores(instances: readonly PeerRecord[]): string[] {
+  const maxCores = Math.max(...instances.map(getCores));
   return instances
-    .filter(instance => getCores(instance) >= STRONG_SHARE * most)
+    .filter(instance => getCores(instance) >= MIN_CORES_RATIO * maxCores)
     .map(({id}) => id);
 }
 
--- a/packages/peers/src/frames.ts
+++ b/packages/peers/src/frames.ts
@@ -25,7 +25,7 @@
 /** Cuts a byte stream into frames. */
 export class FrameDecoder {
   private chunks: Buffer[] = [];
-  private length = 0;
+  private bufferedBytes = 0;
   private maxBytes: number;
 
   /** @param maxBytes Largest payload that is taken. */
@@ -44,11 +44,11 @@
    */
   addBytes(bytes: Uint8Array): Buffer[] {
     this.chunks.push(Buffer.from(bytes));
-    this.length += bytes.length;
+    this.bufferedBytes += bytes.length;
     const payloads: Buffer[] = [];
-    while (this.length >= LENGTH_BYTES) {
+    while (this.bufferedBytes >= LENGTH_BYTES) {
       const size = this.getNextSize();
-      if (this.length < LENGTH_BYTES + size) break;
+      if (this.bufferedBytes < LENGTH_BYTES + size) break;
       const frame = this.takeBytes(LENGTH_BYTES + size);
       payloads.push(frame.subarray(LENGTH_BYTES));
     }
@@ -68,7 +68,7 @@
     if (this.chunks[0].length < count) this.joinChunks();
     const taken = this.chunks[0].subarray(0, count);
     this.chunks[0] = this.chunks[0].subarray(count);
-    this.length -= count;
+    this.bufferedBytes -= count;
     if (this.chunks[0].length === 0) this.chunks.shift();
     return taken;
   }
--- a/packages/peers/src/key-ring.ts
+++ b/packages/peers/src/key-ring.ts
@@ -22,7 +22,7 @@
   }
 
   /** Returns the key to dial with. */
-  getFirst(): PeerKey {
+  getDialKey(): PeerKey {
     return this.keys[0];
   }
 
--- a/packages/peers/src/membership.ts
+++ b/packages/peers/src/membership.ts
@@ -15,7 +15,7 @@
 export const PEER_PREFIX = 'hollowstack/instances/';
 
 /** Peers tell of each other as well, so the list itself may lag a little. */
-const WATCH_PACE: WatchTiming = {
+const WATCH_TIMING: WatchTiming = {
   waitMs: 28_000,
   batchDelayMs: 1000,
   timeoutMarginMs: 1000,
@@ -24,23 +24,23 @@
 /** Milliseconds of a registration where the wiring sets none. */
 const DEFAULT_LEASE_MS = 30_000;
 /** Renewals that a lease lasts for. */
-const RENEWALS_IN_LEASE = 3;
+const RENEWALS_PER_LEASE = 3;
 /**
  * Milliseconds before a failed registration is tried again; a third of the
  * shortest lease in use.
  */
 const RETRY_MS = 2000;
 /** Milliseconds for which a peer counts as live after it was heard of directly. */
-const HEARD_MS = 15_000;
+const CONTACT_VALID_MS = 15_000;
 /** Milliseconds for which a peer that did not answer is asked last. */
-const UNREACHABLE_MS = 10_000;
+const UNREACHABLE_COOLDOWN_MS = 10_000;
 
 /**
  * Milliseconds for which what was computed from the list is used again while
  * nobody joins or leaves; the spans that end by themselves are ten seconds and
  * more.
  */
-const CACHE_MS = 200;
+const CACHE_TTL_MS = 200;
 
 /** What membership works with. */
 export interface MembershipParts {
@@ -59,23 +59,23 @@
 export class Membership implements WatchSubscription {
   readonly range: KeyRange = {
     ...createPrefixRange(PEER_PREFIX),
-    watchTiming: WATCH_PACE,
+    watchTiming: WATCH_TIMING,
   };
   private readonly parts: MembershipParts;
   private readonly registered = new Map<string, PeerRecord>();
   private readonly changes = new ChangeRevisions();
-  private readonly heard = new Map<
+  private readonly recentPeers = new Map<
     string,
     {record: PeerRecord; atMs: number}
   >();
   private readonly listeners: Array<() => void> = [];
   private readonly task: RepeatingTask;
-  private readonly unreachable = new Map<string, number>();
+  private readonly unreachableAtMs = new Map<string, number>();
   /** Peers that gave a sign of life while this instance ran. */
   private readonly confirmed = new Set<string>();
   private readonly leaseMs: number;
   private leaseId: string | undefined;
-  private hasStopped = false;
+  private isStopped = false;
   private cachedAtMs = -Infinity;
   private readonly cache = new Map<string, unknown>();
 
@@ -84,7 +84,7 @@
     this.leaseMs = parts.leaseMs ?? DEFAULT_LEASE_MS;
     this.task = new RepeatingTask(parts.clock, parts.random, async () => {
       const isRegistered = await this.renew().catch(() => false);
-      return isRegistered ? this.leaseMs / RENEWALS_IN_LEASE : RETRY_MS;
+      return isRegistered ? this.leaseMs / RENEWALS_PER_LEASE : RETRY_MS;
     });
   }
 
@@ -100,7 +100,7 @@
    */
   getCached<T>(name: string, compute: () => T): T {
     const nowMs = this.parts.clock.getNow();
-    if (nowMs - this.cachedAtMs >= CACHE_MS) {
+    if (nowMs - this.cachedAtMs >= CACHE_TTL_MS) {
       this.cache.clear();
       this.cachedAtMs = nowMs;
     }
@@ -116,9 +116,9 @@
   private computePeers(): PeerRecord[] {
     const peers = new Map<string, PeerRecord>();
     for (const [id, record] of this.registered) peers.set(id, record);
-    const freshMs = this.parts.clock.getNow() - HEARD_MS;
-    for (const [id, {record, atMs}] of this.heard) {
-      if (atMs >= freshMs) peers.set(id, record);
+    const oldestMs = this.parts.clock.getNow() - CONTACT_VALID_MS;
+    for (const [id, {record, atMs}] of this.recentPeers) {
+      if (atMs >= oldestMs) peers.set(id, record);
     }
     peers.delete(this.parts.self.id);
     return [...peers.values()];
@@ -127,12 +127,12 @@
   /**
    * Returns the live peers that have not failed to answer lately.
    *
-   * @param banMs Milliseconds that count as lately.
+   * @param cooldownMs Milliseconds that count as lately.
    */
-  listReachablePeers(banMs = UNREACHABLE_MS): PeerRecord[] {
-    const sinceMs = this.parts.clock.getNow() - banMs;
+  listReachablePeers(cooldownMs = UNREACHABLE_COOLDOWN_MS): PeerRecord[] {
+    const sinceMs = this.parts.clock.getNow() - cooldownMs;
     return this.listPeers().filter(
-      ({id}) => (this.unreachable.get(id) ?? -Infinity) < sinceMs,
+      ({id}) => (this.unreachableAtMs.get(id) ?? -Infinity) < sinceMs,
     );
   }
 
@@ -148,10 +148,10 @@
   /**
    * Returns the peers of whom nothing was heard yet.
    *
-   * @param banMs Milliseconds for which one that did not answer is left out.
+   * @param cooldownMs Milliseconds for which one that did not answer is left out.
    */
-  listUnconfirmedPeers(banMs: number): PeerRecord[] {
-    return this.listReachablePeers(banMs).filter(
+  listUnconfirmedPeers(cooldownMs: number): PeerRecord[] {
+    return this.listReachablePeers(cooldownMs).filter(
       ({id}) => !this.confirmed.has(id),
     );
   }
@@ -176,32 +176,34 @@
 
   /** Returns whether this instance has taken itself off the list. */
   isLeaving(): boolean {
-    return this.hasStopped;
+    return this.isStopped;
   }
 
   /** Notes that a peer was heard of just now. */
   recordContact(record: PeerRecord): void {
-    const isNew = !this.heard.has(record.id) && !this.registered.has(record.id);
-    const wasOut =
-      this.unreachable.delete(record.id) || !this.confirmed.has(record.id);
+    const isNew =
+      !this.recentPeers.has(record.id) && !this.registered.has(record.id);
+    const wasUnconfirmed =
+      this.unreachableAtMs.delete(record.id) || !this.confirmed.has(record.id);
     this.confirmed.add(record.id);
-    this.heard.set(record.id, {record, atMs: this.parts.clock.getNow()});
-    if (isNew || wasOut) this.cache.clear();
+    this.recentPeers.set(record.id, {record, atMs: this.parts.clock.getNow()});
+    if (isNew || wasUnconfirmed) this.cache.clear();
     if (isNew) this.callListeners();
   }
 
   /** Adds a peer that another one knows of; whether it lives is still to be asked. */
   addPeer(record: PeerRecord): void {
-    if (this.heard.has(record.id) || this.registered.has(record.id)) return;
-    this.heard.set(record.id, {record, atMs: this.parts.clock.getNow()});
+    if (this.recentPeers.has(record.id) || this.registered.has(record.id))
+      return;
+    this.recentPeers.set(record.id, {record, atMs: this.parts.clock.getNow()});
     this.callListeners();
   }
 
   /** Notes that a peer does not answer; the list alone decides about it again. */
   recordUnreachable(id: string): void {
-    this.heard.delete(id);
+    this.recentPeers.delete(id);
     this.confirmed.delete(id);
-    this.unreachable.set(id, this.parts.clock.getNow());
+    this.unreachableAtMs.set(id, this.parts.clock.getNow());
     this.cache.clear();
   }
 
@@ -217,7 +219,7 @@
 
   /** Stops renewing and takes this instance off the list. */
   async stop(): Promise<void> {
-    this.hasStopped = true;
+    this.isStopped = true;
     this.cache.clear();
     this.task.stop();
     const {leaseId} = this;
@@ -233,7 +235,7 @@
       if (event.type === 'delete') this.removeRegistered(id);
       else {
         // Who registers anew has just started.
-        this.unreachable.delete(id);
+        this.unreachableAtMs.delete(id);
         this.confirmed.add(id);
         this.setRegistered(id, event.value);
       }
--- a/packages/peers/src/messages.ts
+++ b/packages/peers/src/messages.ts
@@ -71,7 +71,7 @@
 export type ViewOffsets = z.infer<typeof viewOffsetsSchema>;
 
 // A configuration may be large and a link thin, so a copy is sent only on request.
-const copyWishesSchema = z.object({
+const requestedCopiesSchema = z.object({
   configuration: z.boolean(),
   upstreams: z.boolean(),
   members: z.boolean(),
@@ -79,7 +79,7 @@
   packed: z.boolean().default(false),
 });
 /** What an asker wants sent along. */
-export type RequestedCopies = z.infer<typeof copyWishesSchema>;
+export type RequestedCopies = z.infer<typeof requestedCopiesSchema>;
 
 /**
  * Ids of upstreams that said in an answer that they leave, where the store does not
@@ -94,7 +94,7 @@
 const limitsSchema = z.array(limitReportSchema).optional();
 
 /** What a peer is only told. */
-const peerNoteSchema = z.discriminatedUnion('type', [
+const peerNotificationSchema = z.discriminatedUnion('type', [
   z.object({type: z.literal('stage-end'), requestId: z.string()}),
   z.object({
     type: z.literal('stage-release'),
@@ -106,7 +106,7 @@
   }),
 ]);
 /** What a peer is only told. */
-export type PeerNotification = z.infer<typeof peerNoteSchema>;
+export type PeerNotification = z.infer<typeof peerNotificationSchema>;
 
 /** What one instance asks another. */
 export const peerRequestSchema = z.discriminatedUnion('type', [
@@ -147,7 +147,7 @@
     /** The sender's reports on the limits of these upstreams. */
     limits: z.array(limitReportSchema),
   }),
-  z.object({type: z.literal('notes'), notes: z.array(peerNoteSchema)}),
+  z.object({type: z.literal('notes'), notes: z.array(peerNotificationSchema)}),
   z.object({
     type: z.literal('copy'),
     self: peerRecordSchema,
@@ -168,7 +168,7 @@
     suspects: suspectsSchema,
     limits: limitsSchema,
     /** What the answer should carry beside the revisions, where it is newer. */
-    wishes: copyWishesSchema,
+    wishes: requestedCopiesSchema,
   }),
   z.object({
     type: z.literal('relay-watch'),
--- a/packages/peers/src/note-queue.test.ts
+++ b/packages/peers/src/notification-queue.test.ts
@@ -15,39 +15,39 @@
       },
     },
   });
-  const countNotes = () =>
+  const listBatchSizes = () =>
     sent.map(({request}) =>
       request.type === 'notes' ? request.notes.length : 0,
     );
-  return {clock, queue, sent, countNotes};
+  return {clock, queue, sent, listBatchSizes};
 }
 
-function createNote(requestId: string) {
+function createNotification(requestId: string) {
   return {type: 'stage-end', requestId} as const;
 }
 
 test('notes that come close together go to each peer in one message', async () => {
-  const {clock, queue, sent, countNotes} = createQueue(async () => ({
+  const {clock, queue, sent, listBatchSizes} = createQueue(async () => ({
     type: 'done',
   }));
-  const told = ['a', 'a', 'b', 'a'].map((address, index) =>
-    queue.sendNotification(address, createNote(`${index}`)),
+  const deliveries = ['a', 'a', 'b', 'a'].map((address, index) =>
+    queue.sendNotification(address, createNotification(`${index}`)),
   );
   await clock.advance(100);
-  await Promise.all(told);
+  await Promise.all(deliveries);
   assert.deepEqual(
     sent.map(({address}) => address),
     ['a', 'b'],
   );
-  assert.deepEqual(countNotes(), [3, 1]);
+  assert.deepEqual(listBatchSizes(), [3, 1]);
 });
 
 test('many notes do not wait for the others', async () => {
-  const {queue, countNotes} = createQueue(async () => ({type: 'done'}));
+  const {queue, listBatchSizes} = createQueue(async () => ({type: 'done'}));
   for (let index = 0; index < 65; index++) {
-    void queue.sendNotification('a', createNote(`${index}`));
+    void queue.sendNotification('a', createNotification(`${index}`));
   }
-  assert.deepEqual(countNotes(), [64]);
+  assert.deepEqual(listBatchSizes(), [64]);
 });
 
 test('whoever sent a note learns that it was not taken', async () => {
@@ -58,10 +58,10 @@
     },
   ]) {
     const {clock, queue} = createQueue(answer);
-    const told = [1, 2].map(index =>
-      queue.sendNotification('a', createNote(`${index}`)),
+    const deliveries = [1, 2].map(index =>
+      queue.sendNotification('a', createNotification(`${index}`)),
     );
-    const settled = Promise.allSettled(told);
+    const settled = Promise.allSettled(deliveries);
     await clock.advance(100);
     assert.deepEqual(
       (await settled).map(({status}) => status),
--- a/packages/peers/src/notification-queue.ts
+++ b/packages/peers/src/notification-queue.ts
@@ -9,14 +9,14 @@
   readonly link: Pick<PeerLink, 'sendRequest'>;
 }
 
-interface WaitingNote {
-  readonly note: PeerNotification;
+interface PendingNotification {
+  readonly notification: PeerNotification;
   readonly resolve: () => void;
   readonly reject: (error: unknown) => void;
 }
 
-interface WaitingBatch {
-  readonly notes: WaitingNote[];
+interface PendingBatch {
+  readonly notifications: PendingNotification[];
   readonly timer: Timer;
 }
 
@@ -25,7 +25,7 @@
  * at its first event, and at its end, then goes in one message each; nobody waits
  * for it, and results keep their room by so much longer.
  */
-const GATHER_MS = 20;
+const BATCH_DELAY_MS = 20;
 /** Milliseconds for the peer to take them. */
 const TIMEOUT_MS = 1000;
 /** Notes that go at once, so that a message stays small. */
@@ -38,7 +38,7 @@
  */
 export class NotificationQueue {
   private readonly parts: NotificationQueueParts;
-  private readonly waiting = new Map<string, WaitingBatch>();
+  private readonly pendingBatches = new Map<string, PendingBatch>();
 
   constructor(parts: NotificationQueueParts) {
     this.parts = parts;
@@ -49,30 +49,33 @@
    *
    * @throws HollowstackError `peer-refused` where it cannot be told.
    */
-  sendNotification(address: string, note: PeerNotification): Promise<void> {
+  sendNotification(
+    address: string,
+    notification: PeerNotification,
+  ): Promise<void> {
     return new Promise((resolve, reject) => {
-      const batch = this.waiting.get(address) ?? this.addBatch(address);
-      batch.notes.push({note, resolve, reject});
-      if (batch.notes.length >= MAX_BATCH) void this.sendBatch(address);
+      const batch = this.pendingBatches.get(address) ?? this.addBatch(address);
+      batch.notifications.push({notification, resolve, reject});
+      if (batch.notifications.length >= MAX_BATCH) void this.sendBatch(address);
     });
   }
 
-  private addBatch(address: string): WaitingBatch {
+  private addBatch(address: string): PendingBatch {
     const timer = this.parts.clock.schedule(
-      GATHER_MS,
+      BATCH_DELAY_MS,
       () => void this.sendBatch(address),
     );
-    const batch = {notes: [], timer};
-    this.waiting.set(address, batch);
+    const batch = {notifications: [], timer};
+    this.pendingBatches.set(address, batch);
     return batch;
   }
 
   private async sendBatch(address: string): Promise<void> {
-    const batch = this.waiting.get(address);
+    const batch = this.pendingBatches.get(address);
     if (!batch) return;
-    this.waiting.delete(address);
+    this.pendingBatches.delete(address);
     batch.timer.cancel();
-    const notes = batch.notes.map(({note}) => note);
+    const notes = batch.notifications.map(({notification}) => notification);
     try {
       const request = {type: 'notes', notes} as const;
       const reply = await this.parts.link.sendRequest(
@@ -81,9 +84,9 @@
         TIMEOUT_MS,
       );
       if (reply.type === 'failed') throw createRefusedError(reply.message);
-      for (const {resolve} of batch.notes) resolve();
+      for (const {resolve} of batch.notifications) resolve();
     } catch (error) {
-      for (const {reject} of batch.notes) reject(error);
+      for (const {reject} of batch.notifications) reject(error);
     }
   }
 }
--- a/packages/peers/src/peer-link.test.ts
+++ b/packages/peers/src/peer-link.test.ts
@@ -157,10 +157,10 @@
     left.link.sendRequest(right.address, {type: 'members'}, timeoutMs);
   await askWithin(TIMEOUT_MS);
   network.silenceOpenStreams();
-  const held = askWithin(TIMEOUT_MS);
-  held.catch(() => {});
+  const pending = askWithin(TIMEOUT_MS);
+  pending.catch(() => {});
   await assert.rejects(askWithin(650), {message: /no answer/});
-  await assert.rejects(held, {message: /has closed/});
+  await assert.rejects(pending, {message: /has closed/});
   await askWithin(650);
   assert.equal(network.connectCount, 2);
   const failures = left.metrics.getCounter('hollowstack_peer_failures_total', {
--- a/packages/peers/src/peer-link.ts
+++ b/packages/peers/src/peer-link.ts
@@ -21,7 +21,7 @@
 
 // Streams that were opened to ask a rare question are closed again, so that a
 // large fleet does not end as a full mesh.
-const MAX_OPEN_PEERS = 32;
+const MAX_OPEN_STREAMS = 32;
 /** Milliseconds for both sides of a stream to prove that they hold the key. */
 const HANDSHAKE_TIMEOUT_MS = 2000;
 
@@ -29,7 +29,7 @@
  * Milliseconds within which the streams to two peers must fall silent for the
  * network to be suspected rather than a peer.
  */
-const SUSPICION_MS = 2000;
+const NETWORK_FAULT_WINDOW_MS = 2000;
 
 /** Answers a peer's request. */
 export type PeerRequestHandler = (
@@ -40,12 +40,12 @@
 /** Asks peers and answers them over authenticated streams. */
 export class PeerLink {
   private readonly parts: PeerLinkParts;
-  private readonly opened = new Map<string, Promise<PeerStream>>();
+  private readonly streams = new Map<string, Promise<PeerStream>>();
   private readonly sessions = new Set<Session>();
   private handleRequest: PeerRequestHandler;
   private nextRequestId = 1;
   /** The peer whose stream fell silent last, and when. */
-  private lastSilent = {address: '', atMs: -Infinity};
+  private lastUnresponsive = {address: '', atMs: -Infinity};
 
   constructor(parts: PeerLinkParts) {
     this.parts = parts;
@@ -81,7 +81,7 @@
     const {clock, metrics} = this.parts;
     const id = this.nextRequestId++;
     return new Promise((resolve, reject) => {
-      let isOver = false;
+      let hasTimedOut = false;
       let stream: PeerStream | undefined;
       const sentAtMs = clock.getNow();
       // Many callers go on without an answer; the counter is where it shows.
@@ -92,15 +92,15 @@
         reject(error);
       };
       const timer = clock.schedule(timeoutMs, () => {
-        isOver = true;
+        hasTimedOut = true;
         if (stream?.recordTimeout(id, sentAtMs)) {
-          this.closeSilent(address, stream);
+          this.closeUnresponsive(address, stream);
         }
         fail(createLinkError(`no answer from ${address}`));
       });
       this.openPeer(address).then(
         opened => {
-          if (isOver) return;
+          if (hasTimedOut) return;
           stream = opened;
           metrics.addToCounter('hollowstack_peer_requests_total', {
             type: request.type,
@@ -113,7 +113,7 @@
         },
         error => {
           timer.cancel();
-          if (!isOver) fail(error);
+          if (!hasTimedOut) fail(error);
         },
       );
     });
@@ -121,8 +121,8 @@
 
   /** Closes the stream to a peer that does not answer; what waits there fails. */
   closePeer(address: string): void {
-    const opening = this.opened.get(address);
-    this.opened.delete(address);
+    const opening = this.streams.get(address);
+    this.streams.delete(address);
     if (opening) closeOnceOpen(opening);
   }
 
@@ -134,38 +134,39 @@
 
   // A silent stream would cost each request that follows its whole time. Where a
   // second one follows, whatever silenced them has most likely met the idle ones.
-  private closeSilent(address: string, {session}: PeerStream): void {
+  private closeUnresponsive(address: string, {session}: PeerStream): void {
     const {clock, logger} = this.parts;
     logger.logEvent('peer.stream-silent', {address});
     session.close();
     const nowMs = clock.getNow();
-    const {lastSilent} = this;
-    this.lastSilent = {address, atMs: nowMs};
+    const {lastUnresponsive} = this;
+    this.lastUnresponsive = {address, atMs: nowMs};
     const isSecond =
-      lastSilent.address !== address && nowMs - lastSilent.atMs < SUSPICION_MS;
+      lastUnresponsive.address !== address &&
+      nowMs - lastUnresponsive.atMs < NETWORK_FAULT_WINDOW_MS;
     if (isSecond) this.closeIdle();
   }
 
   private closeIdle(): void {
-    for (const opening of this.opened.values()) {
+    for (const opening of this.streams.values()) {
       closeOnceOpen(opening, stream => stream.isIdle());
     }
   }
 
   private openPeer(address: string): Promise<PeerStream> {
-    const known = this.opened.get(address);
-    if (known) {
+    const existing = this.streams.get(address);
+    if (existing) {
       // Taken out and put in again, so that the one unused longest comes first.
-      this.opened.delete(address);
-      this.opened.set(address, known);
-      return known;
+      this.streams.delete(address);
+      this.streams.set(address, existing);
+      return existing;
     }
     const opening: Promise<PeerStream> = this.connectPeer(address, () =>
       this.removePeer(address, opening),
     );
-    this.opened.set(address, opening);
+    this.streams.set(address, opening);
     opening.catch(() => this.removePeer(address, opening));
-    this.closeOldest();
+    this.closeLeastRecentlyUsed();
     return opening;
   }
 
@@ -268,13 +269,13 @@
   }
 
   private removePeer(address: string, opening: Promise<PeerStream>): void {
-    if (this.opened.get(address) === opening) this.opened.delete(address);
+    if (this.streams.get(address) === opening) this.streams.delete(address);
   }
 
-  private closeOldest(): void {
-    if (this.opened.size <= MAX_OPEN_PEERS) return;
-    const [address, opening] = this.opened.entries().next().value!;
-    this.opened.delete(address);
+  private closeLeastRecentlyUsed(): void {
+    if (this.streams.size <= MAX_OPEN_STREAMS) return;
+    const [address, opening] = this.streams.entries().next().value!;
+    this.streams.delete(address);
     closeOnceOpen(opening);
   }
 }
--- a/packages/peers/src/peer-stream.ts
+++ b/packages/peers/src/peer-stream.ts
@@ -15,7 +15,7 @@
  * start), and short enough that a question on another stream fits in the time
  * in which changes must be in force.
  */
-const SILENT_AFTER_MS = 600;
+const UNRESPONSIVE_MS = 600;
 
 /**
  * A stream that this instance has opened to a peer, with the requests that wait
@@ -45,10 +45,10 @@
 
   /** Passes a reply on to whoever waits for it. */
   handleReply(id: number, reply: PeerReply): void {
-    const waiting = this.pending.get(id);
+    const pending = this.pending.get(id);
     this.pending.delete(id);
-    waiting?.timer.cancel();
-    waiting?.resolve(reply);
+    pending?.timer.cancel();
+    pending?.resolve(reply);
   }
 
   /** Returns whether nothing waits on it. */
@@ -69,7 +69,7 @@
   recordTimeout(id: number, sentAtMs: number): boolean {
     this.pending.delete(id);
     this.unansweredSinceMs ??= sentAtMs;
-    return this.clock.getNow() - this.unansweredSinceMs >= SILENT_AFTER_MS;
+    return this.clock.getNow() - this.unansweredSinceMs >= UNRESPONSIVE_MS;
   }
 
   /** Fails every request that waits. */
--- a/packages/peers/src/revision-gossip.ts
+++ b/packages/peers/src/revision-gossip.ts
@@ -59,11 +59,11 @@
 
   /** Asks a few peers once; the daemon does so before it is ready. */
   async runRound(): Promise<void> {
-    const addresses = this.choosePeers();
+    const addresses = this.chooseAddresses();
     await Promise.all(addresses.map(address => this.exchangeWith(address)));
   }
 
-  private choosePeers(): string[] {
+  private chooseAddresses(): string[] {
     const {membership, seeds, random} = this.parts;
     const peers = membership.listReachablePeers();
     const chosen = choosePeersAcrossDomains(peers, FAN_OUT, random).map(
@@ -91,13 +91,14 @@
       this.recordUnreachable(address);
       return;
     }
-    if (reply.revision > getRevision().revision) await this.followPeer(address);
-    if (membership.listPeers().length === 0) await this.askMembers(address);
+    if (reply.revision > getRevision().revision)
+      await this.readNewerRevision(address);
+    if (membership.listPeers().length === 0) await this.readMembers(address);
   }
 
   // The service comes first, since it holds the truth; the peer's copy serves
   // where the service is down or behind.
-  private async followPeer(address: string): Promise<void> {
+  private async readNewerRevision(address: string): Promise<void> {
     const {link, refresh, getRevision, offerSnapshot} = this.parts;
     const before = getRevision().revision;
     await refresh();
@@ -109,7 +110,7 @@
     offerSnapshot(reply.snapshot, `peer ${address}`);
   }
 
-  private async askMembers(address: string): Promise<void> {
+  private async readMembers(address: string): Promise<void> {
     const {link, membership} = this.parts;
     const reply: PeerReply | undefined = await link
       .sendRequest(address, {type: 'members'}, TIMEOUT_MS)
--- a/packages/peers/src/session.ts
+++ b/packages/peers/src/session.ts
@@ -61,8 +61,8 @@
   private sessionKey: KeyObject | undefined;
   private isOpen = false;
   private isClosed = false;
-  private sentFrames = 0;
-  private receivedFrames = 0;
+  private sentFrameCount = 0;
+  private receivedFrameCount = 0;
 
   constructor(
     socket: PeerSocket,
@@ -84,7 +84,7 @@
   /** Sends an envelope; the session must be open. */
   sendEnvelope(envelope: Envelope): void {
     const payload = encode(envelope);
-    const tag = this.computeTag(this.role, this.sentFrames++, payload);
+    const tag = this.computeTag(this.role, this.sentFrameCount++, payload);
     this.socket.send(encodeFrame(Buffer.concat([tag, payload])));
   }
 
@@ -96,7 +96,7 @@
     if (this.isClosed) return;
     try {
       for (const payload of this.decoder.addBytes(bytes)) {
-        if (this.isOpen) this.handleSealed(payload);
+        if (this.isOpen) this.handleTaggedFrame(payload);
         else this.handleHandshake(handshakeSchema.parse(decode(payload)));
       }
     } catch (error) {
@@ -105,11 +105,15 @@
     }
   }
 
-  private handleSealed(frame: Buffer): void {
+  private handleTaggedFrame(frame: Buffer): void {
     if (frame.length < TAG_BYTES) throw new FrameError('frame without a tag');
     const payload = frame.subarray(TAG_BYTES);
-    const other = this.role === 'dialer' ? 'acceptor' : 'dialer';
-    const expected = this.computeTag(other, this.receivedFrames++, payload);
+    const peerRole = this.role === 'dialer' ? 'acceptor' : 'dialer';
+    const expected = this.computeTag(
+      peerRole,
+      this.receivedFrameCount++,
+      payload,
+    );
     if (!timingSafeEqual(frame.subarray(0, TAG_BYTES), expected)) {
       throw new FrameError('frame with a wrong tag');
     }
@@ -130,7 +134,7 @@
   }
 
   private sendHello(): void {
-    this.key = this.keys.getFirst();
+    this.key = this.keys.getDialKey();
     this.sendHandshake({
       type: 'hello',
       keyId: this.key.id,
--- a/packages/peers/src/share-allocator.ts
+++ b/packages/peers/src/share-allocator.ts
@@ -16,7 +16,7 @@
 }
 
 /** Milliseconds for which a reported demand counts. */
-const DEMAND_MS = 3000;
+const DEMAND_VALID_MS = 3000;
 
 /**
  * Part of a limit that is kept for instances that have not reported yet, of what
@@ -62,7 +62,7 @@
     const reports = this.reports.get(workspace) ?? new Map();
     this.reports.set(workspace, reports);
     this.removeOldReports(reports, nowMs);
-    const report = {...demand, granted: NOTHING, atMs: nowMs};
+    const report = {...demand, granted: NO_SHARE, atMs: nowMs};
     reports.set(instance, report);
     report.granted = {
       requestsPerSecond: computeGrant(
@@ -90,12 +90,12 @@
     nowMs: number,
   ): void {
     for (const [id, {atMs}] of reports) {
-      if (nowMs - atMs > DEMAND_MS) reports.delete(id);
+      if (nowMs - atMs > DEMAND_VALID_MS) reports.delete(id);
     }
   }
 }
 
-const NOTHING: GrantedShare = {requestsPerSecond: 0, concurrentRequests: 0};
+const NO_SHARE: GrantedShare = {requestsPerSecond: 0, concurrentRequests: 0};
 
 function computeGrant(
   limit: number,
@@ -114,8 +114,8 @@
   const isComplete = reports.size >= liveCount;
   const reserve = isComplete ? 0 : limit * RESERVED_FRACTION;
   const share = computeShare(limit, demands, instance, reserve);
-  const evenPart = limit / Math.max(liveCount, reports.size);
-  return Math.min(share, Math.max(evenPart, limit - granted));
+  const evenShare = limit / Math.max(liveCount, reports.size);
+  return Math.min(share, Math.max(evenShare, limit - granted));
 }
 
 // What nobody asks for is spread over those that have reported, less what is
@@ -127,8 +127,8 @@
   reserve: number,
 ): number {
   const spare = limit - demands.reduce((sum, {amount}) => sum + amount, 0);
-  const kept = Math.max(0, Math.min(spare, reserve)) / demands.length;
-  return findShare(limit, demands, instance) - kept;
+  const reserved = Math.max(0, Math.min(spare, reserve)) / demands.length;
+  return findShare(limit, demands, instance) - reserved;
 }
 
 function findShare(
--- a/packages/peers/src/share-client.test.ts
+++ b/packages/peers/src/share-client.test.ts
@@ -13,9 +13,10 @@
 /** Two requests at once an instance, all together. */
 const BURST = 2 * INSTANCES;
 /** The limit, the even parts of those that begin while it is granted, the burst. */
-const MOST_AT_BEGIN = LIMIT + (LIMIT * (INSTANCES - 1)) / INSTANCES + BURST;
+const MAX_PER_SECOND_AT_START =
+  LIMIT + (LIMIT * (INSTANCES - 1)) / INSTANCES + BURST;
 /** Milliseconds within which the instances of a play begin. */
-const BEGIN_WITHIN_MS = 1500;
+const START_WITHIN_MS = 1500;
 /** Milliseconds for two rounds of reports. */
 const SETTLE_MS = 2500;
 const LATENCY_MS = 2;
@@ -30,12 +31,12 @@
 class ShareFleet {
   readonly clients: ShareClient[] = [];
   private readonly clock: ManualClock;
-  private readonly keepers = new Map<string, ShareAllocator>();
+  private readonly allocators = new Map<string, ShareAllocator>();
 
   constructor(clock: ManualClock, count: number, random = () => 0.5) {
     this.clock = clock;
     const ids = Array.from({length: count}, (_, index) => `instance-${index}`);
-    for (const id of ids) this.keepers.set(id, new ShareAllocator(clock));
+    for (const id of ids) this.allocators.set(id, new ShareAllocator(clock));
     const records = ids.map(id => ({id, address: id, failureDomain: 'a'}));
     for (const self of records) {
       const membership = {
@@ -50,7 +51,7 @@
               this.answer(address, request),
           } as unknown as PeerLink,
           membership,
-          allocator: this.keepers.get(self.id)!,
+          allocator: this.allocators.get(self.id)!,
           clock,
           random,
           getWorkspace: () => WORKSPACE,
@@ -67,9 +68,9 @@
   private async answer(address: string, request: PeerRequest) {
     await waitFor(this.clock, LATENCY_MS);
     if (request.type !== 'demand') throw new Error('not expected');
-    const keeper = this.keepers.get(address)!;
+    const allocator = this.allocators.get(address)!;
     const {instance} = request;
-    const share = keeper.grantShare(
+    const share = allocator.grantShare(
       request.workspace,
       instance,
       request,
@@ -95,13 +96,13 @@
   count: number,
 ): Promise<number> {
   let refused = 0;
-  const asked = Array.from({length: count}, async () => {
+  const attempts = Array.from({length: count}, async () => {
     const refusal = await client.beginRequest(WORKSPACE);
     if (refusal) refused += 1;
     else client.endRequest(WORKSPACE);
   });
   await clock.advance(20);
-  await Promise.all(asked);
+  await Promise.all(attempts);
   return refused;
 }
 
@@ -123,11 +124,11 @@
 
 test('a caller under a third of the limit is never refused, on whichever instance it begins', async t => {
   const {clock, clients} = startFleet(t, INSTANCES);
-  const everyMs = 1000 / (LIMIT / 3);
+  const intervalMs = 1000 / (LIMIT / 3);
   for (const client of clients) {
     for (let sent = 0; sent < 30; sent++) {
       const begun = client.beginRequest(WORKSPACE);
-      await clock.advance(everyMs);
+      await clock.advance(intervalMs);
       assert.equal(await begun, undefined, `request ${sent}`);
       client.endRequest(WORKSPACE);
     }
@@ -139,40 +140,44 @@
     const random = createSeededRandom(seed);
     const clock = new ManualClock();
     const fleet = new ShareFleet(clock, INSTANCES, random);
-    const begins = fleet.clients.map(() => random() * BEGIN_WITHIN_MS);
+    const startDelaysMs = fleet.clients.map(() => random() * START_WITHIN_MS);
     const startMs = clock.getNow();
-    const passedAtMs: number[] = [];
-    const run = async (client: ShareClient, beginMs: number) => {
-      await waitFor(clock, beginMs);
+    const admittedAtMs: number[] = [];
+    const run = async (client: ShareClient, startDelayMs: number) => {
+      await waitFor(clock, startDelayMs);
       while (clock.getNow() < startMs + 6000) {
         if (!(await client.beginRequest(WORKSPACE))) {
-          passedAtMs.push(clock.getNow());
+          admittedAtMs.push(clock.getNow());
           client.endRequest(WORKSPACE);
         }
         await waitFor(clock, 20);
       }
     };
     for (const [index, client] of fleet.clients.entries()) {
-      void run(client, begins[index]);
+      void run(client, startDelaysMs[index]);
     }
     await clock.advance(7000);
     fleet.stop();
-    const most = computeMostInASecond(passedAtMs);
-    assert.ok(most <= MOST_AT_BEGIN, `seed ${seed}: ${most} in a second`);
-    const settledAtMs = startMs + BEGIN_WITHIN_MS + SETTLE_MS;
-    const settled = passedAtMs.filter(atMs => atMs >= settledAtMs);
-    const mostSettled = computeMostInASecond(settled);
+    const maxPerSecond = computeMaxPerSecond(admittedAtMs);
     assert.ok(
-      mostSettled <= LIMIT + BURST,
-      `seed ${seed}: ${mostSettled} in a second once all have begun`,
+      maxPerSecond <= MAX_PER_SECOND_AT_START,
+      `seed ${seed}: ${maxPerSecond} in a second`,
+    );
+    const settledAtMs = startMs + START_WITHIN_MS + SETTLE_MS;
+    const settled = admittedAtMs.filter(atMs => atMs >= settledAtMs);
+    const maxPerSecondSettled = computeMaxPerSecond(settled);
+    assert.ok(
+      maxPerSecondSettled <= LIMIT + BURST,
+      `seed ${seed}: ${maxPerSecondSettled} in a second once all have begun`,
     );
   }
 });
 
-function computeMostInASecond(passedAtMs: readonly number[]): number {
-  const counts = passedAtMs.map(
+function computeMaxPerSecond(admittedAtMs: readonly number[]): number {
+  const counts = admittedAtMs.map(
     fromMs =>
-      passedAtMs.filter(atMs => atMs >= fromMs && atMs < fromMs + 1000).length,
+      admittedAtMs.filter(atMs => atMs >= fromMs && atMs < fromMs + 1000)
+        .length,
   );
   return Math.max(...counts);
 }
--- a/packages/peers/src/share-client.ts
+++ b/packages/peers/src/share-client.ts
@@ -30,7 +30,7 @@
 /** Why a request of a workspace may not begin. */
 export type ShareRefusal = 'requests-per-second' | 'concurrent-requests';
 
-interface WorkspaceUse {
+interface WorkspaceUsage {
   bucket: TokenBucket;
   /** Resolves once the first share is there, or did not come in its time. */
   firstShare: Promise<void>;
@@ -40,9 +40,9 @@
   inFlight: number;
   peakInFlight: number;
   /** Requests asked for since the last round, admitted or not. */
-  asked: number;
-  askedPerSecond: number;
-  lastAskedAtMs: number;
+  arrivalCount: number;
+  arrivalsPerSecond: number;
+  lastArrivalAtMs: number;
 }
 
 /** Milliseconds between two reports of demand. */
@@ -52,14 +52,14 @@
 /** Milliseconds for which a share holds; three rounds, and a late answer. */
 const SHARE_VALID_MS = 3500;
 /** Milliseconds without a request after which a workspace is forgotten. */
-const FORGET_MS = 10_000;
+const IDLE_TTL_MS = 10_000;
 /**
  * Milliseconds that requests beyond the even part wait for the first share; some
  * hundred round trips. Without one the even part decides.
  */
-const FIRST_SHARE_MS = 100;
+const FIRST_SHARE_TIMEOUT_MS = 100;
 /** What is asked for beyond the present use, so that a share can grow. */
-const HEADROOM = 1.25;
+const DEMAND_HEADROOM = 1.25;
 
 /**
  * Keeps this instance within its share of each workspace's limits. Which
@@ -68,7 +68,7 @@
  */
 export class ShareClient {
   private readonly parts: ShareClientParts;
-  private readonly uses = new Map<string, WorkspaceUse>();
+  private readonly usages = new Map<string, WorkspaceUsage>();
   private readonly controller = new AbortController();
 
   constructor(parts: ShareClientParts) {
@@ -81,39 +81,39 @@
    * share: a pair of requests at once would else be refused far from the limit.
    */
   async beginRequest(workspace: Workspace): Promise<ShareRefusal | undefined> {
-    const use = this.getUse(workspace);
-    use.asked += 1;
-    use.lastAskedAtMs = this.parts.clock.getNow();
-    this.applyFallback(use, workspace);
-    const refusal = this.takeOne(use);
-    if (!refusal || use.hasFirstShare) return refusal;
-    await use.firstShare;
-    return this.takeOne(use);
+    const usage = this.getUsage(workspace);
+    usage.arrivalCount += 1;
+    usage.lastArrivalAtMs = this.parts.clock.getNow();
+    this.applyFallback(usage, workspace);
+    const refusal = this.admitRequest(usage);
+    if (!refusal || usage.hasFirstShare) return refusal;
+    await usage.firstShare;
+    return this.admitRequest(usage);
   }
 
-  private takeOne(use: WorkspaceUse): ShareRefusal | undefined {
-    if (use.inFlight + 1 > Math.max(1, use.share.concurrentRequests)) {
+  private admitRequest(usage: WorkspaceUsage): ShareRefusal | undefined {
+    if (usage.inFlight + 1 > Math.max(1, usage.share.concurrentRequests)) {
       return 'concurrent-requests';
     }
-    if (!use.bucket.acquire()) return 'requests-per-second';
-    use.inFlight += 1;
-    use.peakInFlight = Math.max(use.peakInFlight, use.inFlight);
+    if (!usage.bucket.acquire()) return 'requests-per-second';
+    usage.inFlight += 1;
+    usage.peakInFlight = Math.max(usage.peakInFlight, usage.inFlight);
     return undefined;
   }
 
   /** A request that was taken in has ended. */
   endRequest(workspace: Workspace): void {
-    this.getUse(workspace).inFlight -= 1;
+    this.getUsage(workspace).inFlight -= 1;
   }
 
   getShare(workspace: string): WorkspaceShare | undefined {
-    const use = this.uses.get(workspace);
-    return use && {...use.share, inFlight: use.inFlight};
+    const usage = this.usages.get(workspace);
+    return usage && {...usage.share, inFlight: usage.inFlight};
   }
 
   /** Returns milliseconds until the workspace's next request may begin. */
   getWaitMs(workspace: Workspace): number {
-    return this.getUse(workspace).bucket.getWaitMs();
+    return this.getUsage(workspace).bucket.getWaitMs();
   }
 
   /** Reports demands and takes shares until stopped. */
@@ -133,33 +133,36 @@
 
   private async runRound(elapsedMs: number): Promise<void> {
     const nowMs = this.parts.clock.getNow();
-    const asking: Array<Promise<void>> = [];
-    for (const [name, use] of this.uses) {
-      use.askedPerSecond = (use.asked * 1000) / elapsedMs;
-      use.asked = 0;
+    const refreshes: Array<Promise<void>> = [];
+    for (const [name, usage] of this.usages) {
+      usage.arrivalsPerSecond = (usage.arrivalCount * 1000) / elapsedMs;
+      usage.arrivalCount = 0;
       const isIdle =
-        use.inFlight === 0 && nowMs - use.lastAskedAtMs > FORGET_MS;
-      if (isIdle) this.uses.delete(name);
-      else asking.push(this.askShare(name, use));
+        usage.inFlight === 0 && nowMs - usage.lastArrivalAtMs > IDLE_TTL_MS;
+      if (isIdle) this.usages.delete(name);
+      else refreshes.push(this.refreshShare(name, usage));
     }
-    await Promise.all(asking);
+    await Promise.all(refreshes);
   }
 
-  private async askShare(name: string, use: WorkspaceUse): Promise<void> {
+  private async refreshShare(
+    name: string,
+    usage: WorkspaceUsage,
+  ): Promise<void> {
     const workspace = this.parts.getWorkspace(name);
     if (!workspace) return;
     const demand = {
-      requestsPerSecond: use.askedPerSecond * HEADROOM,
-      inFlight: use.peakInFlight * HEADROOM,
+      requestsPerSecond: usage.arrivalsPerSecond * DEMAND_HEADROOM,
+      inFlight: usage.peakInFlight * DEMAND_HEADROOM,
     };
-    use.peakInFlight = use.inFlight;
-    const share = await this.askKeeper(workspace, demand);
+    usage.peakInFlight = usage.inFlight;
+    const share = await this.askAllocator(workspace, demand);
     if (!share) return;
-    this.setShare(use, share);
-    use.grantedAtMs = this.parts.clock.getNow();
+    this.setShare(usage, share);
+    usage.grantedAtMs = this.parts.clock.getNow();
   }
 
-  private async askKeeper(
+  private async askAllocator(
     workspace: Workspace,
     demand: ShareDemand,
   ): Promise<GrantedShare | undefined> {
@@ -167,8 +170,8 @@
     const self = membership.getSelf();
     const peers = membership.listPeers();
     const ids = [self.id, ...peers.map(({id}) => id)];
-    const keeperId = listByRendezvous(workspace.name, ids)[0];
-    const address = peers.find(({id}) => id === keeperId)?.address;
+    const allocatorId = listByRendezvous(workspace.name, ids)[0];
+    const address = peers.find(({id}) => id === allocatorId)?.address;
     if (address === undefined) {
       return allocator.grantShare(
         workspace.name,
@@ -193,12 +196,12 @@
     return reply?.type === 'share' ? reply : undefined;
   }
 
-  private getUse(workspace: Workspace): WorkspaceUse {
-    const known = this.uses.get(workspace.name);
-    if (known) return known;
+  private getUsage(workspace: Workspace): WorkspaceUsage {
+    const existing = this.usages.get(workspace.name);
+    if (existing) return existing;
     const {clock} = this.parts;
-    const share = this.computeEvenPart(workspace);
-    const use: WorkspaceUse = {
+    const share = this.computeEvenShare(workspace);
+    const usage: WorkspaceUsage = {
       // All instances may begin together: each has its even part to begin with.
       bucket: createBucket(clock, share),
       firstShare: Promise.resolve(),
@@ -207,55 +210,55 @@
       grantedAtMs: clock.getNow(),
       inFlight: 0,
       peakInFlight: 0,
-      asked: 0,
-      askedPerSecond: 0,
-      lastAskedAtMs: clock.getNow(),
+      arrivalCount: 0,
+      arrivalsPerSecond: 0,
+      lastArrivalAtMs: clock.getNow(),
     };
-    this.uses.set(workspace.name, use);
-    use.firstShare = this.readFirstShare(use, workspace);
-    return use;
+    this.usages.set(workspace.name, usage);
+    usage.firstShare = this.readFirstShare(usage, workspace);
+    return usage;
   }
 
   private async readFirstShare(
-    use: WorkspaceUse,
+    usage: WorkspaceUsage,
     workspace: Workspace,
   ): Promise<void> {
     const {clock} = this.parts;
     const {requestsPerSecond, concurrentRequests} = workspace.limits;
-    const asking = this.askKeeper(workspace, {
+    const pendingShare = this.askAllocator(workspace, {
       requestsPerSecond: requestsPerSecond * RESERVED_FRACTION,
       inFlight: concurrentRequests * RESERVED_FRACTION,
     });
     const share = await Promise.race([
-      asking,
-      waitFor(clock, FIRST_SHARE_MS).then((): undefined => undefined),
+      pendingShare,
+      waitFor(clock, FIRST_SHARE_TIMEOUT_MS).then((): undefined => undefined),
     ]);
-    use.hasFirstShare = true;
+    usage.hasFirstShare = true;
     if (!share) return;
     // Tokens that were taken from the even part count against the first share.
-    const takenCount = use.bucket.getTakenCount();
-    use.share = share;
-    use.grantedAtMs = clock.getNow();
-    use.bucket = createBucket(clock, share);
-    for (let taken = 0; taken < takenCount; taken++) use.bucket.acquire();
+    const takenCount = usage.bucket.getTakenCount();
+    usage.share = share;
+    usage.grantedAtMs = clock.getNow();
+    usage.bucket = createBucket(clock, share);
+    for (let taken = 0; taken < takenCount; taken++) usage.bucket.acquire();
   }
 
-  private applyFallback(use: WorkspaceUse, workspace: Workspace): void {
-    const ageMs = this.parts.clock.getNow() - use.grantedAtMs;
+  private applyFallback(usage: WorkspaceUsage, workspace: Workspace): void {
+    const ageMs = this.parts.clock.getNow() - usage.grantedAtMs;
     if (ageMs <= SHARE_VALID_MS) return;
-    this.setShare(use, this.computeEvenPart(workspace));
-    use.grantedAtMs = this.parts.clock.getNow();
+    this.setShare(usage, this.computeEvenShare(workspace));
+    usage.grantedAtMs = this.parts.clock.getNow();
   }
 
-  private setShare(use: WorkspaceUse, share: GrantedShare): void {
-    use.share = share;
-    use.bucket.setRate(
+  private setShare(usage: WorkspaceUsage, share: GrantedShare): void {
+    usage.share = share;
+    usage.bucket.setRate(
       share.requestsPerSecond,
       getBurst(share.requestsPerSecond),
     );
   }
 
-  private computeEvenPart({limits}: Workspace): GrantedShare {
+  private computeEvenShare({limits}: Workspace): GrantedShare {
     const count = this.parts.membership.getLiveCount();
     return {
       requestsPerSecond: limits.requestsPerSecond / count,
--- a/scripts/proofs.ts
+++ b/scripts/proofs.ts
@@ -193,7 +193,7 @@
     promise: 'a leaving upstream gets no new work',
     mechanism: 'a stream to a peer that has fallen silent is closed',
     file: 'packages/peers/src/peer-stream.ts',
-    from: 'return this.clock.getNow() - this.unansweredSinceMs >= SILENT_AFTER_MS;',
+    from: 'return this.clock.getNow() - this.unansweredSinceMs >= UNRESPONSIVE_MS;',
     to: 'return false;',
     noticedBy: 'packages/peers/src/peer-link.test.ts',
   },
