--- a/packages/store-relay/src/range-mirror.test.ts
+++ b/packages/store-relay/src/range-mirror.test.ts
@@ -12,7 +12,7 @@
   return new RangeMirror(createPrefixRange('a/'));
 }
 
-function createReading(
+function createResult(
   storeRevision: number,
   revisions: Readonly<Record<string, number>>,
 ): RangeResult {
@@ -47,14 +47,14 @@
   assert.equal(mirror.createRangeResult(), undefined);
   assert.equal(mirror.listChanges(0), undefined);
   mirror.applyEvents([createPut('a/1', 4), createPut('a/2', 7)]);
-  mirror.applyRangeResult(createReading(5, {'a/1': 4}));
+  mirror.applyRangeResult(createResult(5, {'a/1': 4}));
   assert.deepEqual(listKeys(mirror), ['a/1@4', 'a/2@7']);
   assert.deepEqual(mirror.listChanges(5), [createPut('a/2', 7)]);
 });
 
 test('changes are told from any revision that is known, once each', () => {
   const mirror = createMirror();
-  mirror.applyRangeResult(createReading(5, {'a/1': 4}));
+  mirror.applyRangeResult(createResult(5, {'a/1': 4}));
   const events = [createPut('a/2', 7), createDelete('a/1', 9)];
   assert.deepEqual(mirror.applyEvents(events), events);
   assert.deepEqual(mirror.applyEvents(events), []);
@@ -67,28 +67,30 @@
 
 test('changes of one transaction share a revision and are all taken', () => {
   const mirror = createMirror();
-  mirror.applyRangeResult(createReading(5, {}));
+  mirror.applyRangeResult(createResult(5, {}));
   mirror.applyEvents([createPut('a/1', 6), createPut('a/2', 6)]);
   assert.deepEqual(listKeys(mirror), ['a/1@6', 'a/2@6']);
 });
 
 test('a newer reading brings what differs, an older one nothing', () => {
   const mirror = createMirror();
-  mirror.applyRangeResult(createReading(5, {'a/1': 3, 'a/2': 4}));
-  assert.deepEqual(mirror.applyRangeResult(createReading(5, {})), []);
-  const news = mirror.applyRangeResult(createReading(9, {'a/2': 8, 'a/3': 7}));
-  assert.deepEqual(news, [
+  mirror.applyRangeResult(createResult(5, {'a/1': 3, 'a/2': 4}));
+  assert.deepEqual(mirror.applyRangeResult(createResult(5, {})), []);
+  const newEvents = mirror.applyRangeResult(
+    createResult(9, {'a/2': 8, 'a/3': 7}),
+  );
+  assert.deepEqual(newEvents, [
     createPut('a/3', 7),
     createPut('a/2', 8),
     createDelete('a/1', 9),
   ]);
-  assert.deepEqual(mirror.listChanges(5), news);
+  assert.deepEqual(mirror.listChanges(5), newEvents);
   assert.deepEqual(listKeys(mirror), ['a/2@8', 'a/3@7']);
 });
 
 test('what is no longer kept is not told', () => {
   const mirror = createMirror();
-  mirror.applyRangeResult(createReading(1, {}));
+  mirror.applyRangeResult(createResult(1, {}));
   const events = Array.from({length: 1500}, (_, index) =>
     createPut('a/1', index + 2),
   );
--- a/packages/store-relay/src/range-mirror.ts
+++ b/packages/store-relay/src/range-mirror.ts
@@ -9,7 +9,7 @@
  * Changes kept for peers that are behind; a peer asks several times a second,
  * and a restart of a whole fleet of 300 brings two changes an instance.
  */
-const MAX_EVENTS = 1000;
+const MAX_RETAINED_EVENTS = 1000;
 
 /** What is known of one range of the store: its content and its latest changes. */
 export class RangeMirror {
@@ -18,7 +18,7 @@
   private events: WatchEvent[] = [];
   private storeId = '';
   /** Revision behind which `events` are whole; undefined before a reading. */
-  private floor: number | undefined;
+  private historyStartRevision: number | undefined;
   private revision = 0;
 
   constructor(range: KeyRange) {
@@ -32,7 +32,7 @@
 
   /** Returns whether content and changes are known. */
   isComplete(): boolean {
-    return this.floor !== undefined;
+    return this.historyStartRevision !== undefined;
   }
 
   /**
@@ -41,16 +41,16 @@
    *
    * @returns The changes that it brings to content that was known.
    */
-  applyRangeResult(reading: RangeResult): readonly WatchEvent[] {
-    if (this.isComplete()) return this.applyNewerReading(reading);
-    const {storeId, storeRevision, keyValues} = reading;
+  applyRangeResult(result: RangeResult): readonly WatchEvent[] {
+    if (this.isComplete()) return this.applyNewerResult(result);
+    const {storeId, storeRevision, keyValues} = result;
     this.storeId = storeId;
-    this.floor = storeRevision;
+    this.historyStartRevision = storeRevision;
     this.keyValues = new Map(keyValues.map(item => [item.key, item]));
-    const early = this.events;
+    const bufferedEvents = this.events;
     this.events = [];
     this.revision = storeRevision;
-    this.applyEvents(early);
+    this.applyEvents(bufferedEvents);
     return [];
   }
 
@@ -60,18 +60,18 @@
    * @returns The changes that are new.
    */
   applyEvents(events: readonly WatchEvent[]): readonly WatchEvent[] {
-    const news: WatchEvent[] = [];
-    const before = this.revision;
+    const newEvents: WatchEvent[] = [];
+    const previousRevision = this.revision;
     for (const event of events) {
       // One transaction gives several changes the same revision.
-      if (event.modRevision <= before) continue;
+      if (event.modRevision <= previousRevision) continue;
       this.revision = Math.max(this.revision, event.modRevision);
       this.events.push(event);
       this.applyEvent(event);
-      news.push(event);
+      newEvents.push(event);
     }
     if (this.isComplete()) this.removeOldEvents();
-    return news;
+    return newEvents;
   }
 
   /** Returns the content, or undefined while it is not known. */
@@ -89,16 +89,19 @@
    * known.
    */
   listChanges(sinceRevision: number): readonly WatchEvent[] | undefined {
-    if (this.floor === undefined || sinceRevision < this.floor)
+    if (
+      this.historyStartRevision === undefined ||
+      sinceRevision < this.historyStartRevision
+    )
       return undefined;
     return this.events.filter(({modRevision}) => modRevision > sinceRevision);
   }
 
-  private applyNewerReading(reading: RangeResult): readonly WatchEvent[] {
-    const {storeRevision, keyValues} = reading;
+  private applyNewerResult(result: RangeResult): readonly WatchEvent[] {
+    const {storeRevision, keyValues} = result;
     if (storeRevision <= this.revision) return [];
-    const listed = new Set(keyValues.map(({key}) => key));
-    const put = keyValues
+    const listedKeys = new Set(keyValues.map(({key}) => key));
+    const puts = keyValues
       .filter(({modRevision}) => modRevision > this.revision)
       .map(({key, value, modRevision}): WatchEvent => ({
         type: 'put',
@@ -107,22 +110,22 @@
         modRevision,
       }))
       .sort((left, right) => left.modRevision - right.modRevision);
-    const removed = [...this.keyValues.keys()]
-      .filter(key => !listed.has(key))
+    const deletes = [...this.keyValues.keys()]
+      .filter(key => !listedKeys.has(key))
       .map((key): WatchEvent => ({
         type: 'delete',
         key,
         value: '',
         modRevision: storeRevision,
       }));
-    const changes = this.applyEvents([...put, ...removed]);
+    const changes = this.applyEvents([...puts, ...deletes]);
     this.revision = storeRevision;
     return changes;
   }
 
   private removeOldEvents(): void {
-    while (this.events.length > MAX_EVENTS) {
-      this.floor = this.events.shift()!.modRevision;
+    while (this.events.length > MAX_RETAINED_EVENTS) {
+      this.historyStartRevision = this.events.shift()!.modRevision;
     }
   }
 
--- a/packages/store-relay/src/range-mirrors.ts
+++ b/packages/store-relay/src/range-mirrors.ts
@@ -41,8 +41,8 @@
   }
 
   /** Takes the reading of a range and returns the changes that it brings. */
-  applyRangeResult(start: string, reading: RangeResult): readonly WatchEvent[] {
-    return this.mirrors.get(start)?.applyRangeResult(reading) ?? [];
+  applyRangeResult(start: string, result: RangeResult): readonly WatchEvent[] {
+    return this.mirrors.get(start)?.applyRangeResult(result) ?? [];
   }
 
   /**
--- a/packages/store-relay/src/relay-client.ts
+++ b/packages/store-relay/src/relay-client.ts
@@ -38,7 +38,7 @@
 }
 
 /** What whole ranges of a peer brought. */
-interface RangesRead {
+interface RangesUpdate {
   readonly events: readonly WatchEvent[];
   readonly progress: readonly WatchProgress[];
 }
@@ -48,25 +48,25 @@
  * a question without news: a silent peer and the question to the next one fit in
  * that time.
  */
-const POLL_SHARE = 0.2;
+const LONG_POLL_FRACTION = 0.2;
 /**
  * Part of it beyond which a peer that holds a question counts as silent. Two
  * silent peers and the question to a third take 0.7 of the time.
  */
-const SILENCE_MARGIN_SHARE = 0.15;
+const TIMEOUT_MARGIN_FRACTION = 0.15;
 /** Milliseconds for whole ranges: some hundred round trips, on a thin link. */
 const READ_TIMEOUT_MS = 500;
 /** Milliseconds for a first answer; a start goes on with the store instead. */
-const FIRST_TIMEOUT_MS = 250;
+const START_READ_TIMEOUT_MS = 250;
 /** Peers asked at a start before the store is read. */
-const MAX_FIRST_SOURCES = 2;
+const MAX_START_SOURCES = 2;
 
 /** Asks the instances that watch the store, and remembers which of them failed. */
 export class RelayClient {
   private readonly parts: RelayClientParts;
   private readonly sources: RelaySources;
   private isRefreshDue = false;
-  private waiting = new AbortController();
+  private pollAbort = new AbortController();
 
   constructor(parts: RelayClientParts) {
     this.parts = parts;
@@ -92,16 +92,16 @@
   /** Asks the next peer at once, in place of a question that waits for changes. */
   refresh(): void {
     this.isRefreshDue = true;
-    this.waiting.abort();
+    this.pollAbort.abort();
   }
 
   /** Has all ranges from a peer; undefined where none had them. */
   async readAll(): Promise<readonly WatchProgress[] | undefined> {
     const starts = this.parts.mirrors.listRanges().map(({start}) => start);
-    for (let asked = 0; asked < MAX_FIRST_SOURCES; asked++) {
+    for (let asked = 0; asked < MAX_START_SOURCES; asked++) {
       const source = this.chooseSource();
       if (!source) return undefined;
-      const read = await this.readRanges(source, starts, FIRST_TIMEOUT_MS);
+      const read = await this.readRanges(source, starts, START_READ_TIMEOUT_MS);
       if (read) return read.progress;
     }
     return undefined;
@@ -110,10 +110,10 @@
   /** Waits for changes at one peer; undefined where it cannot be used. */
   async askForChanges(source: PeerRecord): Promise<RelayUpdate | undefined> {
     const {clock, mirrors, followWithinMs} = this.parts;
-    const waitMs = this.isRefreshDue ? 0 : followWithinMs * POLL_SHARE;
+    const waitMs = this.isRefreshDue ? 0 : followWithinMs * LONG_POLL_FRACTION;
     this.isRefreshDue = false;
     const askedAtMs = clock.getNow();
-    this.waiting = new AbortController();
+    this.pollAbort = new AbortController();
     const ranges = mirrors.listRanges().map(({start}) => ({
       start,
       sinceRevision: mirrors.findMirror(start)!.getRevision(),
@@ -122,24 +122,27 @@
       this.askSource(
         source,
         {type: 'relay-watch', ranges, waitMs, packed: true},
-        waitMs + followWithinMs * SILENCE_MARGIN_SHARE,
+        waitMs + followWithinMs * TIMEOUT_MARGIN_FRACTION,
       ),
-      waitForAbort(this.waiting.signal),
+      waitForAbort(this.pollAbort.signal),
     ]);
     if (reply?.type !== 'relay-changes') return undefined;
-    const told = mirrors.applyEvents(
+    const newEvents = mirrors.applyEvents(
       reply.ranges.flatMap(({events}) => decodeValues(events)),
     );
-    const missed = reply.ranges
+    const gapStarts = reply.ranges
       .filter(({isGap}) => isGap)
       .map(({start}) => start);
-    const read = await this.readRanges(source, missed, READ_TIMEOUT_MS);
+    const read = await this.readRanges(source, gapStarts, READ_TIMEOUT_MS);
     if (!read) return undefined;
-    const sound = reply.ranges.filter(({isGap}) => !isGap);
+    const rangesWithoutGap = reply.ranges.filter(({isGap}) => !isGap);
     return {
-      events: [...told, ...read.events],
-      isAfterOutage: missed.length > 0 && reply.isAfterOutage,
-      progress: [...listProgress(sound, askedAtMs), ...read.progress],
+      events: [...newEvents, ...read.events],
+      isAfterOutage: gapStarts.length > 0 && reply.isAfterOutage,
+      progress: [
+        ...listProgress(rangesWithoutGap, askedAtMs),
+        ...read.progress,
+      ],
     };
   }
 
@@ -147,7 +150,7 @@
     source: PeerRecord,
     starts: readonly string[],
     timeoutMs: number,
-  ): Promise<RangesRead | undefined> {
+  ): Promise<RangesUpdate | undefined> {
     if (starts.length === 0) return {events: [], progress: []};
     const askedAtMs = this.parts.clock.getNow();
     const reply = await this.askSource(
@@ -182,7 +185,7 @@
       this.recordRefusal(source, reply);
       return reply;
     } catch (error) {
-      this.recordSilence(source, error);
+      this.recordUnresponsive(source, error);
       return undefined;
     }
   }
@@ -195,7 +198,7 @@
     }
   }
 
-  private recordSilence({id, address}: PeerRecord, error: unknown): void {
+  private recordUnresponsive({id, address}: PeerRecord, error: unknown): void {
     const reason = error instanceof Error ? error.message : String(error);
     this.parts.logger.logEvent('relay.source-silent', {
       peer: id,
--- a/packages/store-relay/src/relay-role.ts
+++ b/packages/store-relay/src/relay-role.ts
@@ -11,7 +11,7 @@
 }
 
 /** Milliseconds between two looks whether this instance is still to watch. */
-const CHECK_MS = 1000;
+const CHECK_INTERVAL_MS = 1000;
 
 /** Whether this instance watches the store, by the list of instances. */
 export class RelayRole {
@@ -56,9 +56,9 @@
         return;
       }
       wasNeeded = isNeeded;
-      timer = clock.schedule(CHECK_MS, check);
+      timer = clock.schedule(CHECK_INTERVAL_MS, check);
     };
-    let timer = clock.schedule(CHECK_MS, check);
+    let timer = clock.schedule(CHECK_INTERVAL_MS, check);
     return () => timer.cancel();
   }
 }
--- a/packages/store-relay/src/relay-server.ts
+++ b/packages/store-relay/src/relay-server.ts
@@ -20,7 +20,7 @@
 /** Tells peers of the store's changes while this instance watches it. */
 export class RelayServer {
   private readonly parts: RelayServerParts;
-  private readonly packer = new TextCompressor();
+  private readonly compressor = new TextCompressor();
 
   constructor(parts: RelayServerParts) {
     this.parts = parts;
@@ -32,34 +32,34 @@
     const arrivedAtMs = clock.getNow();
     const endMs = arrivedAtMs + request.waitMs;
     for (;;) {
-      if (store.getState() !== 'watching') return this.createUnavailable();
-      const changes = this.createChanges(request, arrivedAtMs);
-      const hasNews = changes.ranges.some(
+      if (store.getState() !== 'watching') return this.createUnavailableReply();
+      const changes = this.createChangesReply(request, arrivedAtMs);
+      const hasChanges = changes.ranges.some(
         ({events, isGap}) => isGap || events.length > 0,
       );
-      const leftMs = endMs - clock.getNow();
-      if (hasNews || leftMs <= 0) return changes;
-      await this.waitForChange(leftMs);
+      const remainingMs = endMs - clock.getNow();
+      if (hasChanges || remainingMs <= 0) return changes;
+      await this.waitForChange(remainingMs);
     }
   }
 
   /** Answers with the content of ranges. */
   answerRead({starts, packed}: RelayRead): PeerReply {
     const {clock, store} = this.parts;
-    if (store.getState() !== 'watching') return this.createUnavailable();
+    if (store.getState() !== 'watching') return this.createUnavailableReply();
     const nowMs = clock.getNow();
     const ranges = starts.flatMap(start => {
-      const reading = store.createRangeResult(start);
-      if (!reading) return [];
-      const keyValues = this.encodeValues(reading.keyValues, packed);
+      const result = store.createRangeResult(start);
+      if (!result) return [];
+      const keyValues = this.encodeValues(result.keyValues, packed);
       const knownUntilOffsetMs = this.computeOffsetMs(start, nowMs);
-      return [{start, ...reading, keyValues, knownUntilOffsetMs}];
+      return [{start, ...result, keyValues, knownUntilOffsetMs}];
     });
-    if (ranges.length < starts.length) return this.createUnavailable();
+    if (ranges.length < starts.length) return this.createUnavailableReply();
     return {type: 'relay-ranges', ranges};
   }
 
-  private createChanges(
+  private createChangesReply(
     {ranges, packed}: RelayWatch,
     arrivedAtMs: number,
   ): RelayChanges {
@@ -90,22 +90,22 @@
 
   private encodeValues<T extends {readonly value: string}>(
     items: readonly T[],
-    isPacked: boolean,
+    isCompressionSupported: boolean,
   ): Array<Omit<T, 'value'> & {value: CompressedText}> {
     return items.map(item => ({
       ...item,
-      value: this.packer.encodeText(item.value, isPacked),
+      value: this.compressor.encodeText(item.value, isCompressionSupported),
     }));
   }
 
-  private createUnavailable(): PeerReply {
+  private createUnavailableReply(): PeerReply {
     return {
       type: 'relay-unavailable',
       isAway: this.parts.store.getState() === 'away',
     };
   }
 
-  private waitForChange(limitMs: number): Promise<void> {
+  private waitForChange(timeoutMs: number): Promise<void> {
     const {clock, store} = this.parts;
     return new Promise(resolve => {
       const finish = () => {
@@ -113,7 +113,7 @@
         removeListener();
         resolve();
       };
-      const timer = clock.schedule(limitMs, finish);
+      const timer = clock.schedule(timeoutMs, finish);
       const removeListener = store.addChangeListener(finish);
     });
   }
--- a/packages/store-relay/src/relay-sources.ts
+++ b/packages/store-relay/src/relay-sources.ts
@@ -8,21 +8,21 @@
  * Milliseconds for which a source that failed is left out; about as long as a
  * watcher needs to find the store again.
  */
-const BAN_MS = 2000;
+const FAILURE_COOLDOWN_MS = 2000;
 /**
  * Sources asked in turn: one that was cut off from the store without noticing
  * is found out by the other at the next question.
  */
-const SOURCES_IN_TURN = 2;
+const MAX_ALTERNATING_SOURCES = 2;
 
 /** Remembers which sources failed, and asks the others in turn. */
 export class RelaySources {
   private readonly clock: Clock;
-  private readonly failed = new Map<
+  private readonly failures = new Map<
     string,
     {failure: SourceFailure; untilMs: number}
   >();
-  private turn = 0;
+  private choiceCount = 0;
 
   constructor(clock: Clock) {
     this.clock = clock;
@@ -32,15 +32,15 @@
   chooseSource(sources: readonly PeerRecord[]): PeerRecord | undefined {
     this.removeOldFailures();
     const usable = sources
-      .filter(({id}) => !this.failed.has(id))
-      .slice(0, SOURCES_IN_TURN);
-    this.turn += 1;
-    return usable[this.turn % usable.length];
+      .filter(({id}) => !this.failures.has(id))
+      .slice(0, MAX_ALTERNATING_SOURCES);
+    this.choiceCount += 1;
+    return usable[this.choiceCount % usable.length];
   }
 
   recordFailure(id: string, failure: SourceFailure): void {
-    const untilMs = this.clock.getNow() + BAN_MS;
-    this.failed.set(id, {failure, untilMs});
+    const untilMs = this.clock.getNow() + FAILURE_COOLDOWN_MS;
+    this.failures.set(id, {failure, untilMs});
   }
 
   /**
@@ -49,15 +49,17 @@
    * @returns Whether there were any.
    */
   restoreAwaySources(): boolean {
-    const away = [...this.failed].filter(([, {failure}]) => failure === 'away');
-    for (const [id] of away) this.failed.delete(id);
+    const away = [...this.failures].filter(
+      ([, {failure}]) => failure === 'away',
+    );
+    for (const [id] of away) this.failures.delete(id);
     return away.length > 0;
   }
 
   private removeOldFailures(): void {
     const nowMs = this.clock.getNow();
-    for (const [id, {untilMs}] of this.failed) {
-      if (untilMs <= nowMs) this.failed.delete(id);
+    for (const [id, {untilMs}] of this.failures) {
+      if (untilMs <= nowMs) this.failures.delete(id);
     }
   }
 }
--- a/packages/store-relay/src/relayed-store.test.ts
+++ b/packages/store-relay/src/relayed-store.test.ts
@@ -11,12 +11,12 @@
 /** Milliseconds after which a fleet that started at once has its watchers. */
 const START_MS = 6000;
 
-interface Started {
+interface StartedFleet {
   readonly fleet: TestFleet;
   readonly clock: ManualClock;
 }
 
-async function startFleet(t: TestContext): Promise<Started> {
+async function startFleet(t: TestContext): Promise<StartedFleet> {
   const clock = new ManualClock();
   const fleet = new TestFleet(clock);
   fleet.store.put('test/a', '1');
@@ -70,10 +70,10 @@
 
 test('a change reaches all in time while two of three watchers of a domain are silent', async t => {
   const {fleet, clock} = await startFleet(t);
-  const silent = listWatchers(fleet)
+  const refusing = listWatchers(fleet)
     .filter(({failureDomain}) => failureDomain === 'domain-0')
     .slice(0, 2);
-  for (const watcher of silent) watcher.peerPath = 'refused';
+  for (const watcher of refusing) watcher.peerPath = 'refused';
   fleet.store.put('test/b', '1');
   await clock.advance(FOLLOW_WITHIN_MS);
   assert.equal(countWithout(fleet.instances, 'test/b', '1'), 0);
@@ -81,12 +81,13 @@
 
 test('a change reaches all in time though two watchers of each domain never answer', async t => {
   const {fleet, clock} = await startFleet(t);
-  const sound = new Set<string>();
+  const domainsWithAnswer = new Set<string>();
   for (const watcher of listWatchers(fleet)) {
-    if (sound.has(watcher.failureDomain)) watcher.peerPath = 'silent';
-    sound.add(watcher.failureDomain);
+    if (domainsWithAnswer.has(watcher.failureDomain))
+      watcher.peerPath = 'silent';
+    domainsWithAnswer.add(watcher.failureDomain);
   }
-  assert.equal(sound.size, DOMAIN_COUNT);
+  assert.equal(domainsWithAnswer.size, DOMAIN_COUNT);
   fleet.store.put('test/b', '1');
   await clock.advance(FOLLOW_WITHIN_MS);
   assert.equal(countWithout(fleet.instances, 'test/b', '1'), 0);
@@ -103,24 +104,26 @@
 
 test('a watcher that no longer hears of the store without knowing keeps nobody behind', async t => {
   const {fleet, clock} = await startFleet(t);
-  const [deaf] = listWatchers(fleet);
-  deaf.client.path = 'silent';
+  const [cutOff] = listWatchers(fleet);
+  cutOff.client.path = 'silent';
   fleet.store.put('test/b', '1');
   await clock.advance(FOLLOW_WITHIN_MS);
-  const others = fleet.instances.filter(instance => instance !== deaf);
+  const others = fleet.instances.filter(instance => instance !== cutOff);
   assert.equal(countWithout(others, 'test/b', '1'), 0);
 });
 
 test('watchers that the store turns away send their followers to others', async t => {
   const {fleet, clock} = await startFleet(t);
-  const away = listWatchers(fleet).filter(
+  const refused = listWatchers(fleet).filter(
     ({failureDomain}) => failureDomain === 'domain-1',
   );
-  for (const watcher of away) watcher.client.path = 'refused';
+  for (const watcher of refused) watcher.client.path = 'refused';
   await clock.advance(1000);
   fleet.store.put('test/b', '1');
   await clock.advance(FOLLOW_WITHIN_MS);
-  const others = fleet.instances.filter(instance => !away.includes(instance));
+  const others = fleet.instances.filter(
+    instance => !refused.includes(instance),
+  );
   assert.equal(countWithout(others, 'test/b', '1'), 0);
 });
 
--- a/packages/store-relay/src/relayed-store.ts
+++ b/packages/store-relay/src/relayed-store.ts
@@ -39,10 +39,10 @@
 export type RelayState = 'watching' | 'away' | 'following';
 
 /** A reading under way of a range that is followed. */
-interface PendingReading {
+interface PendingRead {
   /** Watch in whose time it was sent. */
   readonly generation: number;
-  readonly reading: Promise<RangeResult>;
+  readonly result: Promise<RangeResult>;
 }
 
 /** Where the changes come from, for the log. */
@@ -53,16 +53,16 @@
  * within 300 ms of each other, and whoever took the first list at its word
  * would watch the store for a fleet that is a fraction of its size.
  */
-const SETTLE_MS = 600;
+const START_SETTLE_MS = 600;
 /** Milliseconds of watching the store where no peer passes changes on. */
-const FALLBACK_MS = 3000;
+const STORE_FALLBACK_MS = 3000;
 /** Milliseconds before peers that cannot reach the store are asked again. */
-const AWAY_PAUSE_MS = 250;
+const AWAY_RETRY_MS = 250;
 /**
  * Milliseconds after an outage in which a second source that tells of it says
  * nothing new; sources are back within the 1 s of their own pauses.
  */
-const OUTAGE_MEMORY_MS = 5000;
+const OUTAGE_REPORT_WINDOW_MS = 5000;
 
 /**
  * The store, with its changes taken from peers that watch it. A few instances of
@@ -84,12 +84,12 @@
   /** Counts the beginnings of watches, by which late readings are told apart. */
   private generation = 0;
   /** Readings under way, by the range's first key. */
-  private readonly pending = new Map<string, PendingReading>();
+  private readonly pendingReads = new Map<string, PendingRead>();
   /** Until when every change of a range is known, by its first key. */
   private readonly knownUntilMs = new Map<string, number>();
   private handleProgress: ((progress: WatchProgress) => void) | undefined;
   /** Failures of the store's watch, or to begin it, since it last stood. */
-  private breaks = 0;
+  private watchFailures = 0;
   private beganAfterOutage = false;
   /** Whether the store was restored between the previous watch and the current one. */
   private isRestored = false;
@@ -150,8 +150,8 @@
 
   /** Returns until when every change of a range is known, by its first key. */
   getKnownUntilMs(start: string): number | undefined {
-    const isWhole = this.mirrors.findMirror(start)?.isComplete() === true;
-    return isWhole ? this.knownUntilMs.get(start) : undefined;
+    const isComplete = this.mirrors.findMirror(start)?.isComplete() === true;
+    return isComplete ? this.knownUntilMs.get(start) : undefined;
   }
 
   override refreshWatch(): void {
@@ -171,7 +171,8 @@
       return this.parts.store.readRange(range, minModRevision);
     }
     const known =
-      this.createRangeResult(range.start) ?? (await this.readFollowed(range));
+      this.createRangeResult(range.start) ??
+      (await this.readFollowedRange(range));
     const keyValues = known.keyValues.filter(
       ({modRevision}) => modRevision >= minModRevision,
     );
@@ -205,27 +206,28 @@
     this.generation += 1;
     this.handleProgress = handleProgress;
     try {
-      const fromPeers = await this.begin();
+      const fromPeers = await this.beginWatch();
       yield [];
       for (const each of fromPeers ?? []) this.recordProgress(each);
-      if (!fromPeers && this.isFirstStart) yield* this.waitForOthers(signal);
+      if (!fromPeers && this.isFirstStart)
+        yield* this.waitForRegistrations(signal);
       this.isFirstStart = false;
       while (!signal.aborted) {
         if (this.role.isWatcher()) yield* this.watchStore(signal);
         else yield* this.followPeers(signal);
       }
     } catch (error) {
-      this.recordBreak();
+      this.recordWatchFailure();
       throw error;
     }
   }
 
   // Has the ranges from a peer, or finds out that the store answers.
-  private async begin(): Promise<readonly WatchProgress[] | undefined> {
+  private async beginWatch(): Promise<readonly WatchProgress[] | undefined> {
     const {store, memberRange, getMembers} = this.parts;
     this.isRestored = false;
-    const early = await this.readFromPeers();
-    if (early) return early;
+    const earlyProgress = await this.readFromPeers();
+    if (earlyProgress) return earlyProgress;
     const list = await store.readRange(memberRange);
     this.mirrors.applyRangeResult(memberRange.start, list);
     await getMembers().refresh();
@@ -234,12 +236,12 @@
     this.isRestored =
       this.storeId !== undefined && this.storeId !== list.storeId;
     this.storeId = list.storeId;
-    const late = await this.readFromPeers();
-    if (late) return late;
+    const lateProgress = await this.readFromPeers();
+    if (lateProgress) return lateProgress;
     this.setFeed('store');
     this.state = 'watching';
-    this.beganAfterOutage = this.breaks > 1 || this.isRestored;
-    this.breaks = 0;
+    this.beganAfterOutage = this.watchFailures > 1 || this.isRestored;
+    this.watchFailures = 0;
     return undefined;
   }
 
@@ -249,19 +251,19 @@
 
   private recordProgress(progress: WatchProgress): void {
     const {start, knownUntilMs} = progress;
-    const before = this.knownUntilMs.get(start) ?? -Infinity;
-    this.knownUntilMs.set(start, Math.max(before, knownUntilMs));
+    const previousMs = this.knownUntilMs.get(start) ?? -Infinity;
+    this.knownUntilMs.set(start, Math.max(previousMs, knownUntilMs));
     this.handleProgress?.(progress);
   }
 
-  private async *waitForOthers(
+  private async *waitForRegistrations(
     signal: AbortSignal,
   ): AsyncIterable<readonly WatchEvent[]> {
     const {clock, store, memberRange} = this.parts;
-    await waitFor(clock, SETTLE_MS, signal);
+    await waitFor(clock, START_SETTLE_MS, signal);
     const list = await store.readRange(memberRange);
-    const news = this.mirrors.applyRangeResult(memberRange.start, list);
-    if (news.length > 0) yield news;
+    const newEvents = this.mirrors.applyRangeResult(memberRange.start, list);
+    if (newEvents.length > 0) yield newEvents;
   }
 
   private async *watchStore(
@@ -269,27 +271,27 @@
     untilMs?: number,
   ): AsyncIterable<readonly WatchEvent[]> {
     const {store} = this.parts;
-    const ending = new AbortController();
-    const either = AbortSignal.any([signal, ending.signal]);
-    const endCheck = this.role.watchForRoleEnd(untilMs, () => ending.abort());
+    const roleEnd = new AbortController();
+    const combinedSignal = AbortSignal.any([signal, roleEnd.signal]);
+    const stopCheck = this.role.watchForRoleEnd(untilMs, () => roleEnd.abort());
     this.setFeed('store');
     this.state = 'watching';
     try {
       const since = this.mirrors.getOldestRevision(this.startRevision);
       const ranges = this.mirrors.listRanges();
-      const watch = store.watchRanges(ranges, since, either, progress =>
+      const watch = store.watchRanges(ranges, since, combinedSignal, progress =>
         this.recordProgress(progress),
       );
       for await (const events of watch) {
-        const news = this.mirrors.applyEvents(events);
-        if (news.length === 0) continue;
+        const newEvents = this.mirrors.applyEvents(events);
+        if (newEvents.length === 0) continue;
         this.callChangeListeners();
-        yield news;
+        yield newEvents;
       }
     } catch (error) {
-      if (!ending.signal.aborted || signal.aborted) throw error;
+      if (!roleEnd.signal.aborted || signal.aborted) throw error;
     } finally {
-      endCheck();
+      stopCheck();
     }
   }
 
@@ -297,45 +299,45 @@
     signal: AbortSignal,
   ): AsyncIterable<readonly WatchEvent[]> {
     const {clock, followWithinMs} = this.parts;
-    let heardAtMs = clock.getNow();
+    let lastContactAtMs = clock.getNow();
     this.setFeed('peers');
     this.state = 'following';
     while (!signal.aborted && !this.role.isWatcher()) {
       const source = this.client.chooseSource();
       if (source) {
-        const news = await this.client.askForChanges(source);
-        if (!news) continue;
-        heardAtMs = clock.getNow();
-        if (news.isAfterOutage) yield* this.createOutageEnd();
-        if (news.events.length > 0) yield news.events;
-        for (const each of news.progress) this.recordProgress(each);
+        const update = await this.client.askForChanges(source);
+        if (!update) continue;
+        lastContactAtMs = clock.getNow();
+        if (update.isAfterOutage) yield* this.publishOutageEnd();
+        if (update.events.length > 0) yield update.events;
+        for (const each of update.progress) this.recordProgress(each);
         continue;
       }
       const isAway = this.client.restoreAwaySources();
-      if (isAway && clock.getNow() - heardAtMs < followWithinMs) {
-        await waitFor(clock, AWAY_PAUSE_MS, signal);
+      if (isAway && clock.getNow() - lastContactAtMs < followWithinMs) {
+        await waitFor(clock, AWAY_RETRY_MS, signal);
         continue;
       }
-      heardAtMs = clock.getNow();
+      lastContactAtMs = clock.getNow();
       // Where the watchers cannot reach the store, it is most likely away.
-      if (isAway && !(await this.isStoreThere())) continue;
-      yield* this.watchStore(signal, clock.getNow() + FALLBACK_MS);
+      if (isAway && !(await this.isStoreReachable())) continue;
+      yield* this.watchStore(signal, clock.getNow() + STORE_FALLBACK_MS);
       return;
     }
   }
 
   // Readers take an empty list for a watch that stands anew, and ask whether
   // that was after an outage.
-  private *createOutageEnd(): Iterable<readonly WatchEvent[]> {
+  private *publishOutageEnd(): Iterable<readonly WatchEvent[]> {
     const nowMs = this.parts.clock.getNow();
-    if (nowMs - this.outageEndedAtMs < OUTAGE_MEMORY_MS) return;
+    if (nowMs - this.outageEndedAtMs < OUTAGE_REPORT_WINDOW_MS) return;
     this.outageEndedAtMs = nowMs;
     this.hasOutageEnded = true;
     yield [];
     this.hasOutageEnded = false;
   }
 
-  private async isStoreThere(): Promise<boolean> {
+  private async isStoreReachable(): Promise<boolean> {
     const {store, memberRange} = this.parts;
     return store.readRange(memberRange).then(
       () => true,
@@ -344,17 +346,17 @@
   }
 
   // Readers of one range share a reading.
-  private readFollowed(range: KeyRange): Promise<RangeResult> {
-    const {generation, pending} = this;
-    const shared = pending.get(range.start);
-    if (shared?.generation === generation) return shared.reading;
-    const reading = this.readForWatch(range, generation).finally(() => {
-      if (pending.get(range.start)?.reading === reading) {
-        pending.delete(range.start);
+  private readFollowedRange(range: KeyRange): Promise<RangeResult> {
+    const {generation, pendingReads} = this;
+    const shared = pendingReads.get(range.start);
+    if (shared?.generation === generation) return shared.result;
+    const result = this.readForWatch(range, generation).finally(() => {
+      if (pendingReads.get(range.start)?.result === result) {
+        pendingReads.delete(range.start);
       }
     });
-    pending.set(range.start, {generation, reading});
-    return reading;
+    pendingReads.set(range.start, {generation, result});
+    return result;
   }
 
   // A reading that was sent before the current watch began may lack changes from before
@@ -365,24 +367,24 @@
   ): Promise<RangeResult> {
     const {clock, store} = this.parts;
     const sentAtMs = clock.getNow();
-    const reading = await store.readRange(range);
-    this.logReading(range, reading, sentAtMs);
+    const result = await store.readRange(range);
+    this.logRead(range, result, sentAtMs);
     if (generation !== this.generation) return this.readRange(range);
-    this.applyFirstReading(range.start, reading);
+    this.applyFirstResult(range.start, result);
     this.recordProgress({start: range.start, knownUntilMs: sentAtMs});
-    return this.createRangeResult(range.start) ?? reading;
+    return this.createRangeResult(range.start) ?? result;
   }
 
-  private applyFirstReading(start: string, reading: RangeResult): void {
+  private applyFirstResult(start: string, result: RangeResult): void {
     // A store may tell no revision with a key that is not there.
-    const storeRevision = reading.storeRevision || this.startRevision;
+    const storeRevision = result.storeRevision || this.startRevision;
     if (storeRevision < this.startRevision) {
       throw new StoreError('the reading is older than the watch', 'none');
     }
-    this.mirrors.applyRangeResult(start, {...reading, storeRevision});
+    this.mirrors.applyRangeResult(start, {...result, storeRevision});
   }
 
-  private logReading(
+  private logRead(
     range: KeyRange,
     {storeRevision, keyValues}: RangeResult,
     sentAtMs: number,
@@ -397,8 +399,8 @@
     });
   }
 
-  private recordBreak(): void {
-    this.breaks += 1;
+  private recordWatchFailure(): void {
+    this.watchFailures += 1;
     this.state = 'away';
     this.callChangeListeners();
   }
--- a/packages/store-relay/src/store-watchers.ts
+++ b/packages/store-relay/src/store-watchers.ts
@@ -8,7 +8,7 @@
  */
 const WATCHERS_PER_DOMAIN = 3;
 /** Watchers of other failure domains that are asked after those of one's own. */
-const FAR_SOURCES = 2;
+const MAX_REMOTE_SOURCES = 2;
 
 const WATCHER_KEY = 'store-watcher';
 
@@ -47,10 +47,10 @@
   const ordered = listByRendezvous(self.id, [...byId.keys()]).map(id =>
     byId.get(id)!,
   );
-  const isNear = ({failureDomain}: PeerRecord) =>
+  const isLocal = ({failureDomain}: PeerRecord) =>
     failureDomain === self.failureDomain;
-  const far = ordered.filter(watcher => !isNear(watcher));
-  return [...ordered.filter(isNear), ...far.slice(0, FAR_SOURCES)];
+  const remote = ordered.filter(watcher => !isLocal(watcher));
+  return [...ordered.filter(isLocal), ...remote.slice(0, MAX_REMOTE_SOURCES)];
 }
 
 function listByRank(instances: readonly PeerRecord[]): PeerRecord[] {
--- a/packages/store-relay/src/test-fleet.ts
+++ b/packages/store-relay/src/test-fleet.ts
@@ -138,8 +138,8 @@
     yield [];
     while (!signal.aborted) {
       if (this.path === 'refused') throw new StoreError('refused', 'none');
-      const isHeard = this.path === 'open';
-      const events = isHeard ? this.store.listEvents(ranges, since) : [];
+      const isOpen = this.path === 'open';
+      const events = isOpen ? this.store.listEvents(ranges, since) : [];
       if (events.length > 0) {
         since = events.at(-1)!.modRevision;
         yield events;
@@ -288,9 +288,9 @@
     const reply = await this.answer(address, request);
     const sentAtMs = this.computeSentAtMs(address, reply);
     const nowMs = this.clock.getNow();
-    const leftMs = startedAtMs + timeoutMs - nowMs;
-    await waitFor(this.clock, Math.min(leftMs, sentAtMs - nowMs));
-    if (sentAtMs - nowMs > leftMs) throw new Error('timeout');
+    const remainingMs = startedAtMs + timeoutMs - nowMs;
+    await waitFor(this.clock, Math.min(remainingMs, sentAtMs - nowMs));
+    if (sentAtMs - nowMs > remainingMs) throw new Error('timeout');
     return reply;
   }
 
