--- a/packages/peers/src/compressed-text.test.ts
+++ b/packages/peers/src/compressed-text.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {FrameError, TextCompressor, decodeText} from './index.ts';
 
-// As the operators of a large deployment write them.
+// Has the shape and size of the configuration of a large deployment.
 const CONFIGURATION = JSON.stringify({
   routes: Array.from({length: 1900}, (_, index) => ({
     name: `r-${(index * 7919).toString(36)}`,
@@ -19,7 +19,7 @@
   })),
 });
 
-test('a configuration of 1,900 routes goes to peers in a sixth of its size or less', () => {
+test('a configuration of 1,900 routes is compressed to less than a sixth of its size', () => {
   const compressed = new TextCompressor().encodeText(CONFIGURATION, true);
   assert.ok(compressed instanceof Uint8Array);
   assert.ok(
@@ -29,19 +29,19 @@
   assert.equal(decodeText(compressed), CONFIGURATION);
 });
 
-test('a text is deflated once for all peers', () => {
+test('a text is compressed once for all peers', () => {
   const compressor = new TextCompressor();
   const first = compressor.encodeText(CONFIGURATION, true);
   assert.equal(compressor.encodeText(CONFIGURATION, true), first);
 });
 
-test('short texts, and those for peers that do not know better, go as they are', () => {
+test('short texts, and texts for peers that do not support compression, stay uncompressed', () => {
   const compressor = new TextCompressor();
   assert.equal(compressor.encodeText('short', true), 'short');
   assert.equal(compressor.encodeText(CONFIGURATION, false), CONFIGURATION);
 });
 
-test('bytes that are no deflated text, or too long a one, are an error of the frame', () => {
+test('invalid compressed bytes, and texts that inflate beyond the limit, are frame errors', () => {
   assert.throws(() => decodeText(new Uint8Array([1, 2, 3])), FrameError);
   const oversized = new TextCompressor().encodeText(
     ' '.repeat(9 * 1024 * 1024),
--- a/packages/peers/src/compressed-text.ts
+++ b/packages/peers/src/compressed-text.ts
@@ -2,38 +2,40 @@
 import {z} from 'zod';
 import {FrameError, MAX_FRAME_BYTES} from './frames.ts';
 
-export /**
- *
- */
-const compressedTextSchema = z.union([z.string(), z.instanceof(Uint8Array)]);
-/** A text as it goes to a peer: as it is, or deflated (RFC 1951) where it is long. */
+/** A plain text, or its raw deflate bytes (RFC 1951). */
+export const compressedTextSchema = z.union([
+  z.string(),
+  z.instanceof(Uint8Array),
+]);
+/** A text as it is sent to a peer: a plain string, or raw deflate bytes if it is long. */
 export type CompressedText = z.infer<typeof compressedTextSchema>;
 
-/** A deflated text. */
+/** A text as raw deflate bytes. */
 type CompressedBytes = Exclude<CompressedText, string>;
 
 /**
- * Characters from which on a text is deflated; a registration of an upstream, which
- * would gain little, has some 300.
+ * Shorter texts are sent uncompressed. The registration of an upstream has about 300
+ * characters and would gain little.
  */
 const MIN_COMPRESSED_CHARACTERS = 8192;
-/** Packed texts that are remembered: the newest configurations. */
+/** Compressed texts in the cache: the newest configurations. */
 const MAX_CACHED_TEXTS = 4;
-/** zlib's fastest level; the higher ones take three times as long for a tenth less. */
+/** zlib's fastest level; higher levels take three times as long to save a tenth more. */
 const DEFLATE_LEVEL = 1;
 
 /**
- * Deflates long texts for peers, each once. A configuration of 1,900 routes has some
- * 600 KB, and an instance that passes it on to seven others over a link of 7 Mbit/s
- * would need 5 s as it is; deflated it is a tenth of that or less.
+ * Compresses long texts for peers, and each text only once. A configuration of 1,900
+ * routes has about 600 KB; sending it to seven peers over a link of 7 Mbit/s would take
+ * 5 s. Compressed, it is a tenth of that size or less.
  */
 export class TextCompressor {
   private readonly compressedByText = new Map<string, CompressedBytes>();
 
   /**
-   * Returns the text as it is sent.
+   * Compresses a text if it is long and the peer supports compression; otherwise returns
+   * it unchanged.
    *
-   * @param isCompressionSupported Whether the peer understands deflated texts.
+   * @param isCompressionSupported Whether the peer accepts compressed texts.
    */
   encodeText(text: string, isCompressionSupported: boolean): CompressedText {
     if (!isCompressionSupported || text.length < MIN_COMPRESSED_CHARACTERS)
@@ -56,7 +58,8 @@
 /**
  * Restores a text that a peer has sent.
  *
- * @throws FrameError where it cannot be inflated within the size of a frame.
+ * @throws FrameError if the bytes are no valid deflate data, or inflate to more than the
+ *   maximum size of a frame.
  */
 export function decodeText(text: CompressedText): string {
   if (typeof text === 'string') return text;
--- a/packages/peers/src/coordinator.test.ts
+++ b/packages/peers/src/coordinator.test.ts
@@ -17,7 +17,7 @@
   type PeerRecord,
 } from './index.ts';
 
-/** Milliseconds for which a peer that did not answer is left alone here. */
+/** Milliseconds for which a peer that did not answer is left out in these tests. */
 const COOLDOWN_MS = 200;
 
 class EmptyStore extends KeyValueStore {
@@ -94,7 +94,7 @@
   });
 }
 
-test('the first by name coordinates, whoever registered or restarted before', () => {
+test('the first by rendezvous hashing coordinates, regardless of registration order and restarts', () => {
   const ids = ['a', 'b', 'c', 'd', 'self'];
   const [first, second] = listByRendezvous('coordinator', ids);
   const membership = createMembership();
@@ -108,7 +108,7 @@
   assert.equal(getCoordinatorId(membership), first);
 });
 
-test('one that does not answer is passed over until it registers anew', () => {
+test('a peer that does not answer is passed over until it registers again', () => {
   const ids = ['a', 'b', 'c', 'self'];
   const [first, second] = listByRendezvous(
     'coordinator',
@@ -128,7 +128,7 @@
   assert.equal(getCoordinatorId(membership), first);
 });
 
-test('the first of the strongest coordinates, whatever weaker ones there are', () => {
+test('only instances with the most cores coordinate', () => {
   const membership = createMembership();
   const strong = ['strong-1', 'strong-2', 'strong-3'];
   const [first, second, third] = listByRendezvous('coordinator', strong);
@@ -144,7 +144,7 @@
   assert.equal(getCoordinatorId(membership), 'self');
 });
 
-test('one that stops gives way to any peer, and decides for itself without one', async () => {
+test('a stopping instance hands coordination to any peer, and coordinates itself without peers', async () => {
   const membership = createMembership();
   membership.handleEvents([createPut('weak', 3, 0.3)]);
   assert.equal(getCoordinatorId(membership), 'self');
@@ -154,7 +154,7 @@
   assert.equal(getCoordinatorId(membership), 'self');
 });
 
-test('only those who would coordinate are asked whether they live, the first of them first', async () => {
+test('only peers that would replace the coordinator are candidates, in order of preference', async () => {
   const store = new EmptyStore();
   const strong = ['strong-1', 'strong-2', 'strong-3'];
   const [first, second, third] = listByRendezvous('coordinator', strong);
@@ -174,7 +174,7 @@
   assert.equal(getCoordinatorId(membership), second);
 });
 
-test('one that did not answer is asked again once its ban is over', async () => {
+test('a peer that did not answer is a candidate again after its cool-down', async () => {
   const clock = new ManualClock();
   const membership = createMembership(new EmptyStore(), clock);
   membership.handleEvents([createPut('strong', 3, 2)]);
@@ -188,7 +188,7 @@
   assert.equal(getCoordinatorId(membership), 'strong');
 });
 
-test('one that only others know of does not coordinate before it is heard', () => {
+test('a peer known only from other peers does not coordinate before a direct contact', () => {
   const membership = createMembership();
   membership.addPeer(createRecord('strong', 2));
   assert.equal(getCoordinatorId(membership), 'self');
@@ -196,7 +196,7 @@
   assert.equal(getCoordinatorId(membership), 'strong');
 });
 
-test('without any registration all choose alike among those heard of', () => {
+test('without any registration, the coordinator is chosen among the peers in contact', () => {
   const membership = createMembership();
   membership.recordContact(createRecord('b'));
   membership.recordContact(createRecord('c'));
@@ -204,7 +204,7 @@
   assert.equal(getCoordinatorId(membership), first);
 });
 
-test('an instance whose own registration is gone registers again, unless it stops', async () => {
+test('an instance whose registration was deleted registers again, unless it has stopped', async () => {
   const store = new EmptyStore();
   const membership = createMembership(store);
   const running = membership.start();
--- a/packages/peers/src/coordinator.ts
+++ b/packages/peers/src/coordinator.ts
@@ -5,20 +5,20 @@
 const COORDINATOR_KEY = 'coordinator';
 
 /**
- * Share of the most processor that an instance needs in order to coordinate;
- * equal machines differ by less in what they report.
+ * Fraction of the largest number of cores that an instance needs in order to
+ * coordinate. The cores that equal machines report differ by less.
  */
 const MIN_CORES_RATIO = 0.9;
 
 /**
- * Chooses the instance that decides for all: of those known to live and with
- * the most processor, the first by rendezvous over the names. The rank needs
- * nothing that is learnt only once instances run, so that after the loss of all
- * of them every one of them expects the same coordinator from its first list on.
- * While instances know of different peers, each decides with less knowledge,
- * and nothing else.
+ * Chooses the instance that decides for all. Of this instance and the confirmed peers,
+ * those with the most cores are ranked by rendezvous hashing of their ids, and the first
+ * coordinates. The rank depends on nothing that instances learn while they run, so after
+ * a loss of all instances each of them expects the same coordinator from its first member
+ * list on. Instances that know different peers may choose different coordinators; each of
+ * these then decides with less knowledge, and nothing else changes.
  *
- * @returns undefined where it is this instance.
+ * @returns The coordinator, or undefined if it is this instance.
  */
 export function chooseCoordinator(
   membership: Membership,
@@ -37,11 +37,10 @@
 }
 
 /**
- * Lists peers of whom nothing was heard yet and who would coordinate in place of
- * the present one, the first of them first. Others need not be asked whether
- * they live.
+ * Lists the unconfirmed peers that would replace the current coordinator, the
+ * preferred one first. Other peers need not be probed.
  *
- * @param cooldownMs Milliseconds for which a peer that did not answer is left alone.
+ * @param cooldownMs Milliseconds for which a peer that did not answer is left out.
  */
 export function listUnconfirmedCandidates(
   membership: Membership,
@@ -61,8 +60,8 @@
   return listByRendezvous(COORDINATOR_KEY, listIdsWithMostCores(instances))[0];
 }
 
-// Deciding for all costs more the larger the fleet is, and the smallest
-// instances of a fleet may have a fraction of the largest ones' processor.
+// Coordination costs more the larger the fleet is, and the smallest instances of a
+// fleet may have only a fraction of the cores of the largest.
 function listIdsWithMostCores(instances: readonly PeerRecord[]): string[] {
   const maxCores = Math.max(...instances.map(getCores));
   return instances
--- a/packages/peers/src/frames.ts
+++ b/packages/peers/src/frames.ts
@@ -1,9 +1,9 @@
 /** Largest frame that an authenticated peer may send, in bytes. */
 export const MAX_FRAME_BYTES = 8 * 1024 * 1024;
-/** Bytes of the length in front of each frame. */
+/** Bytes of the length prefix of each frame. */
 const LENGTH_BYTES = 4;
 
-/** A frame that cannot be taken. */
+/** A received frame is malformed, too large, unexpected or not authentic. */
 export class FrameError extends Error {
   constructor(message: string) {
     super(message);
@@ -12,7 +12,7 @@
 }
 
 /**
- * Encodes a frame: its length in four bytes, the highest first, then the
+ * Encodes a frame: the length of the payload in four bytes, big-endian, then the
  * payload.
  */
 export function encodeFrame(payload: Uint8Array): Buffer {
@@ -22,13 +22,13 @@
   return frame;
 }
 
-/** Cuts a byte stream into frames. */
+/** Splits a byte stream into frames. */
 export class FrameDecoder {
   private chunks: Buffer[] = [];
   private bufferedBytes = 0;
   private maxBytes: number;
 
-  /** @param maxBytes Largest payload that is taken. */
+  /** @param maxBytes Largest payload that is accepted. */
   constructor(maxBytes: number) {
     this.maxBytes = maxBytes;
   }
@@ -38,9 +38,9 @@
   }
 
   /**
-   * Takes bytes in and returns the payloads that are whole.
+   * Adds received bytes and returns the payloads of the frames that are now complete.
    *
-   * @throws FrameError for a frame over the limit.
+   * @throws FrameError if a frame is over the limit, even before its payload arrives.
    */
   addBytes(bytes: Uint8Array): Buffer[] {
     this.chunks.push(Buffer.from(bytes));
--- a/packages/peers/src/index.ts
+++ b/packages/peers/src/index.ts
@@ -1,4 +1,4 @@
-/** The authenticated link between instances, their membership and what they exchange. */
+/** Authenticated links between instances, their membership and the messages they exchange. */
 export {
   MAX_FRAME_BYTES,
   FrameDecoder,
--- a/packages/peers/src/membership.ts
+++ b/packages/peers/src/membership.ts
@@ -11,50 +11,50 @@
 } from '@hollowstack/store';
 import {peerRecordSchema, type PeerRecord} from './messages.ts';
 
-/** Prefix of the instances that have registered themselves. */
+/** Key prefix under which instances register themselves in the store. */
 export const PEER_PREFIX = 'hollowstack/instances/';
 
-/** Peers tell of each other as well, so the list itself may lag a little. */
+/** Gossip reports peers as well, so changes in the store may arrive a little late. */
 const WATCH_TIMING: WatchTiming = {
   waitMs: 28_000,
   batchDelayMs: 1000,
   timeoutMarginMs: 1000,
 };
 
-/** Milliseconds of a registration where the wiring sets none. */
+/** Milliseconds of a registration's lease by default. */
 const DEFAULT_LEASE_MS = 30_000;
-/** Renewals that a lease lasts for. */
+/** Renewals within the duration of one lease. */
 const RENEWALS_PER_LEASE = 3;
 /**
- * Milliseconds before a failed registration is tried again; a third of the
- * shortest lease in use.
+ * Milliseconds before a failed registration is retried; a third of the shortest
+ * lease in use.
  */
 const RETRY_MS = 2000;
-/** Milliseconds for which a peer counts as live after it was heard of directly. */
+/** Milliseconds for which a peer counts as live after a contact or a peer's report. */
 const CONTACT_VALID_MS = 15_000;
-/** Milliseconds for which a peer that did not answer is asked last. */
+/** Milliseconds for which a peer that did not answer is not listed as reachable. */
 const UNREACHABLE_COOLDOWN_MS = 10_000;
 
 /**
- * Milliseconds for which what was computed from the list is used again while
- * nobody joins or leaves; the spans that end by themselves are ten seconds and
- * more.
+ * Milliseconds for which values computed from the list are reused while no instance
+ * joins or leaves. Time-outs that change the list without an event last ten seconds
+ * or more.
  */
 const CACHE_TTL_MS = 200;
 
-/** What membership works with. */
+/** Dependencies of Membership. */
 export interface MembershipParts {
   readonly self: PeerRecord;
   readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly random: () => number;
-  /** Milliseconds for which a registration outlives its instance. */
+  /** Milliseconds for which a registration remains after its instance has died. */
   readonly leaseMs?: number;
 }
 
 /**
- * Who the live instances are: those registered in the platform's service and
- * those heard of directly, so that an outage of the service hides nobody.
+ * Tracks the live instances: those registered in the store and those with a recent
+ * contact, so that an outage of the store hides no instance.
  */
 export class Membership implements WatchSubscription {
   readonly range: KeyRange = {
@@ -71,7 +71,7 @@
   private readonly listeners: Array<() => void> = [];
   private readonly task: RepeatingTask;
   private readonly unreachableAtMs = new Map<string, number>();
-  /** Peers that gave a sign of life while this instance ran. */
+  /** Peers that have registered or been in contact since this instance started. */
   private readonly confirmed = new Set<string>();
   private readonly leaseMs: number;
   private leaseId: string | undefined;
@@ -93,10 +93,10 @@
   }
 
   /**
-   * Returns what was computed from the list under a name, computed anew once the
-   * list has changed. Several decisions a request ask who coordinates; going through
-   * a list of 30 was the largest share of an idle instance's own code (16 of 293 ms
-   * in a processor profile).
+   * Returns a value computed from the list, cached under a name until the list
+   * changes. Several decisions per request depend on the coordinator; searching a list
+   * of 30 peers each time was the largest part of an idle instance's own code (16 of
+   * 293 ms in a CPU profile).
    */
   getCached<T>(name: string, compute: () => T): T {
     const nowMs = this.parts.clock.getNow();
@@ -108,7 +108,7 @@
     return this.cache.get(name) as T;
   }
 
-  /** Returns the live peers, this instance left out. */
+  /** Returns the live peers, excluding this instance. */
   listPeers(): PeerRecord[] {
     return this.getCached('peers', () => this.computePeers());
   }
@@ -125,9 +125,9 @@
   }
 
   /**
-   * Returns the live peers that have not failed to answer lately.
+   * Returns the live peers that have not recently failed to answer.
    *
-   * @param cooldownMs Milliseconds that count as lately.
+   * @param cooldownMs Milliseconds for which a peer that did not answer is left out.
    */
   listReachablePeers(cooldownMs = UNREACHABLE_COOLDOWN_MS): PeerRecord[] {
     const sinceMs = this.parts.clock.getNow() - cooldownMs;
@@ -137,8 +137,8 @@
   }
 
   /**
-   * Returns the reachable peers that gave a sign of life while this instance
-   * ran. Those that were on the list before may be dead: a registration
+   * Returns the reachable peers that have registered or been in contact since this
+   * instance started. Peers registered before that may be dead, as a registration
    * outlives its instance.
    */
   listConfirmedPeers(): PeerRecord[] {
@@ -146,9 +146,9 @@
   }
 
   /**
-   * Returns the peers of whom nothing was heard yet.
+   * Returns the reachable peers that are not confirmed.
    *
-   * @param cooldownMs Milliseconds for which one that did not answer is left out.
+   * @param cooldownMs Milliseconds for which a peer that did not answer is left out.
    */
   listUnconfirmedPeers(cooldownMs: number): PeerRecord[] {
     return this.listReachablePeers(cooldownMs).filter(
@@ -156,7 +156,10 @@
     );
   }
 
-  /** Returns when each known instance started, this one counted, by its id. */
+  /**
+   * Returns the start times of the known instances by id, including this one, in Unix
+   * milliseconds of each instance's clock. Instances of older versions are left out.
+   */
   listStarts(): ReadonlyMap<string, number> {
     const starts = new Map<string, number>();
     for (const {id, startedAtMs} of [this.getSelf(), ...this.listPeers()]) {
@@ -165,7 +168,7 @@
     return starts;
   }
 
-  /** Returns how many instances are live, this one counted. */
+  /** Returns the number of live instances, including this one. */
   getLiveCount(): number {
     return this.listPeers().length + 1;
   }
@@ -174,12 +177,12 @@
     return this.listPeers().find(peer => peer.id === id);
   }
 
-  /** Returns whether this instance has taken itself off the list. */
+  /** Returns whether this instance has stopped and withdraws its registration. */
   isLeaving(): boolean {
     return this.isStopped;
   }
 
-  /** Notes that a peer was heard of just now. */
+  /** Records a direct contact with a peer, which confirms it. */
   recordContact(record: PeerRecord): void {
     const isNew =
       !this.recentPeers.has(record.id) && !this.registered.has(record.id);
@@ -191,7 +194,7 @@
     if (isNew) this.callListeners();
   }
 
-  /** Adds a peer that another one knows of; whether it lives is still to be asked. */
+  /** Adds a peer that another one has reported; it stays unconfirmed. */
   addPeer(record: PeerRecord): void {
     if (this.recentPeers.has(record.id) || this.registered.has(record.id))
       return;
@@ -199,7 +202,10 @@
     this.callListeners();
   }
 
-  /** Notes that a peer does not answer; the list alone decides about it again. */
+  /**
+   * Records that a peer does not answer. It is no longer confirmed, and is listed only
+   * while it is registered.
+   */
   recordUnreachable(id: string): void {
     this.recentPeers.delete(id);
     this.confirmed.delete(id);
@@ -207,17 +213,17 @@
     this.cache.clear();
   }
 
-  /** Adds a function that is called after each change. */
+  /** Adds a function that is called when a peer is added or registrations change. */
   addListener(listener: () => void): void {
     this.listeners.push(listener);
   }
 
-  /** Registers this instance and renews it until stopped. */
+  /** Registers this instance and renews the registration until stopped. */
   start(): Promise<void> {
     return this.task.start();
   }
 
-  /** Stops renewing and takes this instance off the list. */
+  /** Stops renewing and revokes this instance's registration. */
   async stop(): Promise<void> {
     this.isStopped = true;
     this.cache.clear();
@@ -234,7 +240,7 @@
       this.changes.recordChange(event);
       if (event.type === 'delete') this.removeRegistered(id);
       else {
-        // Who registers anew has just started.
+        // An instance that registers has just started.
         this.unreachableAtMs.delete(id);
         this.confirmed.add(id);
         this.setRegistered(id, event.value);
@@ -247,7 +253,7 @@
     void this.refresh();
   }
 
-  /** Reads the whole list; an outage leaves the last one standing. */
+  /** Reads the list from the store; keeps the previous one if the store is away. */
   async refresh(): Promise<void> {
     const found = await this.parts.store
       .readRange(this.range)
@@ -271,8 +277,8 @@
     this.changes.removeUpTo(storeRevision);
   }
 
-  // A store that was restored from a backup has lost our key, though the lease
-  // may still be renewed.
+  // A store restored from a backup may have lost this instance's key although its
+  // lease can still be renewed.
   private async renewIfMissing(): Promise<void> {
     const isMissing = !this.registered.has(this.parts.self.id);
     if (this.leaseId === undefined || !isMissing) return;
@@ -309,7 +315,7 @@
 
   private removeRegistered(id: string): void {
     this.registered.delete(id);
-    // Leases may have run out in an outage while all instances live.
+    // Leases may expire during an outage of the store while all instances are alive.
     if (id === this.parts.self.id) void this.renewIfMissing();
   }
 
--- a/packages/peers/src/messages.ts
+++ b/packages/peers/src/messages.ts
@@ -22,11 +22,11 @@
   /** Address of the peer link. */
   address: z.string(),
   failureDomain: z.string(),
-  /** Processor it has, in cores of usual speed; unlike machines get unlike work. */
+  /** CPU capacity in cores of standard speed; larger instances get more work. */
   cores: z.number().positive().optional(),
   /**
-   * When it started, in Unix milliseconds of its own clock: tells its lives apart.
-   * Absent where it is of an older version.
+   * Start of the process, in Unix milliseconds of its own clock; distinguishes the
+   * incarnations of an instance. Older versions leave it out.
    */
   startedAtMs: z.number().optional(),
 });
@@ -35,11 +35,11 @@
 export {peerRecordSchema};
 
 const evacuationStateSchema = z.object({
-  /** Store revision up to which this is all. */
+  /** Store revision up to which the list is complete. */
   storeRevision: z.number(),
   failureDomains: z.array(z.string()),
 });
-/** The failure domains that operators have evacuated, at a store revision. */
+/** The failure domains that operators have evacuated, as of a store revision. */
 export type EvacuationState = z.infer<typeof evacuationStateSchema>;
 
 const storeEventSchema = z.object({
@@ -57,9 +57,9 @@
 });
 
 /**
- * Milliseconds from the arrival of a question to the time up to which whoever answers knows
- * every change; below zero where that is earlier. Absent where nothing is known, and from
- * peers of older versions.
+ * Milliseconds from the arrival of a request to the time up to which the replying peer
+ * knows every change; negative if that time is earlier. Absent if the peer knows no such
+ * time, and from peers of older versions.
  */
 const knownUntilOffsetSchema = z.number().optional();
 
@@ -67,33 +67,33 @@
   configuration: knownUntilOffsetSchema,
   upstreams: knownUntilOffsetSchema,
 });
-/** How current each part of the sender's view is, as offsets to the question's arrival. */
+/** How current each part of the sender's view is, as offsets from the request's arrival. */
 export type ViewOffsets = z.infer<typeof viewOffsetsSchema>;
 
-// A configuration may be large and a link thin, so a copy is sent only on request.
+// A configuration may be large and a link slow, so copies are sent only on request.
 const requestedCopiesSchema = z.object({
   configuration: z.boolean(),
   upstreams: z.boolean(),
   members: z.boolean(),
-  /** Whether the asker understands deflated texts. */
+  /** Whether the requester accepts compressed texts. */
   packed: z.boolean().default(false),
 });
-/** What an asker wants sent along. */
+/** The copies that a requester wants included in the reply. */
 export type RequestedCopies = z.infer<typeof requestedCopiesSchema>;
 
 /**
- * Ids of upstreams that said in an answer that they leave, where the store does not
- * say so yet. Peers of older versions leave it out and pass it over.
+ * Ids of upstreams that have reported in an answer that they are leaving, while the store
+ * does not show it yet. Peers of older versions neither send nor read them.
  */
 const leavingUpstreamsSchema = z.array(z.string()).optional();
 
-/** Requests that crash upstreams. Peers of older versions leave it out and pass it over. */
+/** Requests that crash upstreams. Peers of older versions neither send nor read them. */
 const suspectsSchema = z.array(suspectReportSchema).optional();
 
 /** Rate limits of upstreams. Peers of older versions neither send nor read them. */
 const limitsSchema = z.array(limitReportSchema).optional();
 
-/** What a peer is only told. */
+/** A message that the peer only acknowledges. */
 const peerNotificationSchema = z.discriminatedUnion('type', [
   z.object({type: z.literal('stage-end'), requestId: z.string()}),
   z.object({
@@ -105,10 +105,10 @@
     progress: assignmentProgressSchema,
   }),
 ]);
-/** What a peer is only told. */
+/** A message that the peer only acknowledges. */
 export type PeerNotification = z.infer<typeof peerNotificationSchema>;
 
-/** What one instance asks another. */
+/** A request from one instance to another. */
 export const peerRequestSchema = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('digest'),
@@ -129,7 +129,7 @@
     type: z.literal('outcome'),
     claimKey: z.string(),
     requestId: z.string(),
-    /** Milliseconds that the asked instance may wait for the call's end. */
+    /** Milliseconds that the peer may wait for the call to end. */
     waitMs: z.number(),
   }),
   z.object({type: z.literal('why'), requestId: z.string()}),
@@ -151,52 +151,52 @@
   z.object({
     type: z.literal('copy'),
     self: peerRecordSchema,
-    /** Whether it is in a planned stop. */
+    /** Whether the sender is in a planned shutdown. */
     isLeaving: z.boolean(),
     configurationRevision: z.number(),
     storeRevision: z.number(),
-    /** Compares the upstreams that both sides know. */
+    /** Digest of the upstreams that the sender knows. */
     digest: z.string(),
     /**
-     * Whether the sender has just seen the store come back, and still works with
-     * upstreams whose registrations may have run out meanwhile.
+     * Whether the sender has just regained the store and still uses upstreams whose
+     * registrations may have expired in the meantime.
      */
     isProvisional: z.boolean().default(true),
-    /** Small enough to go with every question. */
+    /** Small enough to be sent with every request. */
     evacuations: evacuationStateSchema.optional(),
     leavingUpstreams: leavingUpstreamsSchema,
     suspects: suspectsSchema,
     limits: limitsSchema,
-    /** What the answer should carry beside the revisions, where it is newer. */
+    /** The copies that the reply should include if they are newer than the sender's. */
     wishes: requestedCopiesSchema,
   }),
   z.object({
     type: z.literal('relay-watch'),
     ranges: z.array(
       z.object({
-        /** First key of the range, which names it. */
+        /** First key of the range, which identifies it. */
         start: z.string(),
-        /** Changes behind this store revision are asked for. */
+        /** Store revision after which changes are requested. */
         sinceRevision: z.number(),
       }),
     ),
-    /** Longest milliseconds until an answer without changes. */
+    /** Maximum milliseconds until a reply without changes. */
     waitMs: z.number().nonnegative(),
-    /** Whether the asker understands deflated texts. */
+    /** Whether the requester accepts compressed texts. */
     packed: z.boolean().default(false),
   }),
   z.object({
     type: z.literal('relay-read'),
-    /** First keys of the ranges whose content is asked for. */
+    /** First keys of the ranges to read. */
     starts: z.array(z.string()),
-    /** Whether the asker understands deflated texts. */
+    /** Whether the requester accepts compressed texts. */
     packed: z.boolean().default(false),
   }),
 ]);
-/** What one instance asks another. */
+/** A request from one instance to another. */
 export type PeerRequest = z.infer<typeof peerRequestSchema>;
 
-/** What the other answers. */
+/** A reply to a peer's request. */
 export const peerReplySchema = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('digest'),
@@ -215,7 +215,7 @@
   }),
   z.object({
     type: z.literal('outcome'),
-    /** Undefined where the instance knows nothing of the call. */
+    /** Undefined if the instance does not know the call. */
     outcome: callOutcomeSchema.optional(),
   }),
   z.object({
@@ -233,7 +233,7 @@
   z.object({type: z.literal('done')}),
   z.object({
     type: z.literal('assigned'),
-    /** Undefined where no engine can take the request. */
+    /** Undefined if no engine can accept the request. */
     upstreamId: z.string().optional(),
     failureDomain: z.string().optional(),
   }),
@@ -253,33 +253,33 @@
   z.object({
     type: z.literal('copy'),
     self: peerRecordSchema,
-    /** Whether it is in a planned stop. */
+    /** Whether the sender is in a planned shutdown. */
     isLeaving: z.boolean(),
     configurationRevision: z.number(),
     storeRevision: z.number(),
-    /** Whether both sides know other upstreams. */
+    /** Whether the two sides know different upstreams. */
     isDigestOther: z.boolean(),
-    /** As in the question. */
+    /** As in the request. */
     isProvisional: z.boolean().default(true),
     evacuations: evacuationStateSchema.optional(),
     leavingUpstreams: leavingUpstreamsSchema,
     suspects: suspectsSchema,
     limits: limitsSchema,
     viewOffsetsMs: viewOffsetsSchema.optional(),
-    /** The stored text of a configuration newer than the asker's. */
+    /** The stored text of a configuration newer than the requester's. */
     configurationText: compressedTextSchema.optional(),
-    /** What is known of the upstreams, where it is newer than the asker's. */
+    /** The known state of the upstreams, if newer than the requester's. */
     upstreams: storeCopySchema.optional(),
     members: z.array(peerRecordSchema).optional(),
   }),
   z.object({
     type: z.literal('relay-changes'),
-    /** Whether the store was away before the sender's watch began. */
+    /** Whether the store was unreachable before the sender's watch began. */
     isAfterOutage: z.boolean(),
     ranges: z.array(
       z.object({
         start: z.string(),
-        /** Whether changes before those that are sent are no longer known. */
+        /** Whether the sender no longer has all requested changes. */
         isGap: z.boolean(),
         events: z.array(storeEventSchema),
         knownUntilOffsetMs: knownUntilOffsetSchema,
@@ -300,15 +300,15 @@
   }),
   z.object({
     type: z.literal('relay-unavailable'),
-    /** Whether the sender would watch the store, but cannot reach it. */
+    /** Whether the sender is meant to watch the store but cannot reach it. */
     isAway: z.boolean(),
   }),
   z.object({type: z.literal('failed'), message: z.string()}),
 ]);
-/** What the other answers. */
+/** A reply to a peer's request. */
 export type PeerReply = z.infer<typeof peerReplySchema>;
 
-/** The first frames of a stream, before either side trusts the other. */
+/** The first frames of a stream, before the sides have authenticated each other. */
 export const handshakeSchema = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('hello'),
@@ -327,7 +327,7 @@
 /** One frame of the handshake. */
 export type Handshake = z.infer<typeof handshakeSchema>;
 
-/** A frame of an open stream. */
+/** A frame of an authenticated stream. */
 export const envelopeSchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('request'),
@@ -336,5 +336,5 @@
   }),
   z.object({kind: z.literal('reply'), id: z.number(), reply: peerReplySchema}),
 ]);
-/** A frame of an open stream. */
+/** A frame of an authenticated stream. */
 export type Envelope = z.infer<typeof envelopeSchema>;
--- a/packages/peers/src/notification-queue.test.ts
+++ b/packages/peers/src/notification-queue.test.ts
@@ -26,7 +26,7 @@
   return {type: 'stage-end', requestId} as const;
 }
 
-test('notes that come close together go to each peer in one message', async () => {
+test('notifications sent shortly after each other reach each peer in one message', async () => {
   const {clock, queue, sent, listBatchSizes} = createQueue(async () => ({
     type: 'done',
   }));
@@ -42,7 +42,7 @@
   assert.deepEqual(listBatchSizes(), [3, 1]);
 });
 
-test('many notes do not wait for the others', async () => {
+test('a full batch is sent without delay', async () => {
   const {queue, listBatchSizes} = createQueue(async () => ({type: 'done'}));
   for (let index = 0; index < 65; index++) {
     void queue.sendNotification('a', createNotification(`${index}`));
@@ -50,7 +50,7 @@
   assert.deepEqual(listBatchSizes(), [64]);
 });
 
-test('whoever sent a note learns that it was not taken', async () => {
+test('a notification rejects if the peer refuses it or cannot be reached', async () => {
   for (const answer of [
     async (): Promise<PeerReply> => ({type: 'failed', message: 'not here'}),
     async (): Promise<PeerReply> => {
--- a/packages/peers/src/notification-queue.ts
+++ b/packages/peers/src/notification-queue.ts
@@ -3,7 +3,7 @@
 import type {PeerNotification} from './messages.ts';
 import type {PeerLink} from './peer-link.ts';
 
-/** Dependencies of NoteQueue. */
+/** Dependencies of NotificationQueue. */
 export interface NotificationQueueParts {
   readonly clock: Clock;
   readonly link: Pick<PeerLink, 'sendRequest'>;
@@ -21,20 +21,20 @@
 }
 
 /**
- * Milliseconds for which notes to a peer are gathered. What a request has to tell
- * at its first event, and at its end, then goes in one message each; nobody waits
- * for it, and results keep their room by so much longer.
+ * Milliseconds for which notifications to a peer are collected into a batch. All that a
+ * request sends at its first event, and at its end, then takes one message each. Nothing
+ * waits for these messages; results only occupy memory that much longer.
  */
 const BATCH_DELAY_MS = 20;
-/** Milliseconds for the peer to take them. */
+/** Milliseconds for the peer to acknowledge a batch. */
 const TIMEOUT_MS = 1000;
-/** Notes that go at once, so that a message stays small. */
+/** Maximum notifications in a batch, so that a message stays small. */
 const MAX_BATCH = 64;
 
 /**
- * Sends peers what they are only told, several notes in a message. Each message
- * costs both sides a frame, its tag and a reply, some 0.13 ms of a fresh
- * process, reckoned from a profile of 75 requests.
+ * Sends notifications to peers in batches. Each message costs both sides a frame, its
+ * authentication tag and a reply: about 0.13 ms of a freshly started process, estimated
+ * from a profile of 75 requests.
  */
 export class NotificationQueue {
   private readonly parts: NotificationQueueParts;
@@ -45,9 +45,10 @@
   }
 
   /**
-   * Tells a peer; resolves once it has taken the note.
+   * Queues a notification; resolves once the peer has acknowledged it.
    *
-   * @throws HollowstackError `peer-refused` where it cannot be told.
+   * @throws HollowstackError `peer-refused` if the peer cannot be reached, does not reply
+   *   or refuses the batch.
    */
   sendNotification(
     address: string,
--- a/packages/peers/src/peer-identity.ts
+++ b/packages/peers/src/peer-identity.ts
@@ -1,6 +1,5 @@
-/** Who this instance is to its peers. */
+/** How this instance identifies itself to its peers. */
 export interface PeerIdentity {
   readonly id: string;
-  /** Failure domain. */
   readonly failureDomain: string;
 }
--- a/packages/peers/src/peer-link.test.ts
+++ b/packages/peers/src/peer-link.test.ts
@@ -19,7 +19,7 @@
 const NEXT_KEY: PeerKey = {id: 'k2', secret: 'second-secret-of-the-test'};
 const TIMEOUT_MS = 2000;
 
-/** Streams over TCP whose open ones can fall silent while new ones work. */
+/** TCP streams; those open at a call of silenceOpenStreams stop sending, new ones work. */
 class SilentPeerNetwork extends TcpPeerNetwork {
   connectCount = 0;
   private silentBelow = 0;
@@ -87,7 +87,7 @@
   });
 }
 
-test('peers with a common key ask and answer each other', async t => {
+test('peers with a common key exchange requests and replies', async t => {
   const left = await startLink(t, 'left', [KEY]);
   const right = await startLink(t, 'right', [KEY]);
   const reply = await ask(left, right);
@@ -108,7 +108,7 @@
   assert.equal(right.metrics.getCounter('hollowstack_peer_refusals_total'), 1);
 });
 
-test('keys are rotated without a moment in which peers refuse each other', async t => {
+test('peers do not refuse each other at any step of a key rotation', async t => {
   const left = await startLink(t, 'left', [KEY]);
   const right = await startLink(t, 'right', [KEY]);
   const rotation = [[KEY, NEXT_KEY], [NEXT_KEY, KEY], [NEXT_KEY]];
@@ -123,7 +123,7 @@
   }
 });
 
-test('frames that are no handshake, or too large, close the stream and are counted', async t => {
+test('invalid and oversized handshake frames close the stream and are counted', async t => {
   const right = await startLink(t, 'right', [KEY]);
   await sendRaw(right.address, encodeFrame(Buffer.from('no cbor handshake')));
   await sendRaw(right.address, Buffer.from([0x7f, 0xff, 0xff, 0xff, 1]));
@@ -131,7 +131,7 @@
   assert.equal(right.metrics.getCounter('hollowstack_peer_refusals_total'), 3);
 });
 
-test('frames are put together from any chunks', () => {
+test('frames are reassembled from chunks of any size', () => {
   const frames = ['first', '', 'third'].map(text => Buffer.from(text));
   const bytes = Buffer.concat(frames.map(frame => encodeFrame(frame)));
   for (let size = 1; size <= bytes.length; size++) {
@@ -144,12 +144,12 @@
   }
 });
 
-test('a frame over the limit is an error before its bytes have come', () => {
+test('a frame over the limit is rejected before its payload arrives', () => {
   const decoder = new FrameDecoder(16);
   assert.throws(() => decoder.addBytes(Buffer.from([0, 0, 0, 17])), FrameError);
 });
 
-test('a stream that fell silent is closed, and the next request opens another', async t => {
+test('an unresponsive stream is closed, and the next request opens another', async t => {
   const network = new SilentPeerNetwork();
   const left = await startLink(t, 'left', [KEY], network);
   const right = await startLink(t, 'right', [KEY]);
@@ -169,7 +169,7 @@
   assert.equal(failures, 2);
 });
 
-test('a peer that answers other requests is not given up for a slow one', async t => {
+test('a stream stays open while the peer answers some requests and not others', async t => {
   const network = new SilentPeerNetwork();
   const left = await startLink(t, 'left', [KEY], network);
   const right = await startLink(t, 'right', [KEY]);
--- a/packages/peers/src/peer-link.ts
+++ b/packages/peers/src/peer-link.ts
@@ -9,7 +9,7 @@
 import {PeerStream} from './peer-stream.ts';
 import {Session} from './session.ts';
 
-/** What the link works with. */
+/** Dependencies of PeerLink. */
 export interface PeerLinkParts {
   readonly identity: PeerIdentity;
   readonly network: PeerNetwork;
@@ -19,32 +19,35 @@
   readonly metrics: MetricsRegistry;
 }
 
-// Streams that were opened to ask a rare question are closed again, so that a
-// large fleet does not end as a full mesh.
+// The least recently used streams beyond this number are closed, so that rare requests
+// do not turn a large fleet into a full mesh.
 const MAX_OPEN_STREAMS = 32;
-/** Milliseconds for both sides of a stream to prove that they hold the key. */
+/** Milliseconds for the two sides of a stream to authenticate each other. */
 const HANDSHAKE_TIMEOUT_MS = 2000;
 
 /**
- * Milliseconds within which the streams to two peers must fall silent for the
- * network to be suspected rather than a peer.
+ * Milliseconds within which the streams to two peers must become unresponsive for a
+ * fault of the network, and not of a peer, to be suspected.
  */
 const NETWORK_FAULT_WINDOW_MS = 2000;
 
-/** Answers a peer's request. */
+/**
+ * Answers a peer's request. `peer` is the peer's id, or its address on a stream that this
+ * instance opened.
+ */
 export type PeerRequestHandler = (
   request: PeerRequest,
   peer: string,
 ) => Promise<PeerReply>;
 
-/** Asks peers and answers them over authenticated streams. */
+/** Sends requests to peers and answers theirs over authenticated streams. */
 export class PeerLink {
   private readonly parts: PeerLinkParts;
   private readonly streams = new Map<string, Promise<PeerStream>>();
   private readonly sessions = new Set<Session>();
   private handleRequest: PeerRequestHandler;
   private nextRequestId = 1;
-  /** The peer whose stream fell silent last, and when. */
+  /** The peer whose stream was the last to become unresponsive, and when. */
   private lastUnresponsive = {address: '', atMs: -Infinity};
 
   constructor(parts: PeerLinkParts) {
@@ -55,12 +58,12 @@
     });
   }
 
-  /** Sets what answers peers' requests. */
+  /** Sets the handler of peers' requests; before that, each is answered as failed. */
   setRequestHandler(handleRequest: PeerRequestHandler): void {
     this.handleRequest = handleRequest;
   }
 
-  /** Starts taking peers; resolves to the address in use. */
+  /** Starts accepting streams; resolves to the bound address. */
   listen(address: string): Promise<string> {
     return this.parts.network.listen(address, socket =>
       this.acceptPeer(socket),
@@ -68,10 +71,11 @@
   }
 
   /**
-   * Asks a peer.
+   * Sends a request to a peer and resolves to its reply.
    *
-   * @param timeoutMs Milliseconds to wait for its answer, the connection included.
-   * @throws HollowstackError `peer-refused` where it cannot be asked or does not answer.
+   * @param timeoutMs Milliseconds to wait for the reply, including the connection.
+   * @throws HollowstackError `peer-refused` if the peer cannot be reached or does not
+   *   reply in time.
    */
   sendRequest(
     address: string,
@@ -84,7 +88,7 @@
       let hasTimedOut = false;
       let stream: PeerStream | undefined;
       const sentAtMs = clock.getNow();
-      // Many callers go on without an answer; the counter is where it shows.
+      // Many callers continue without a reply, so only the counter shows the failure.
       const fail = (error: Error) => {
         metrics.addToCounter('hollowstack_peer_failures_total', {
           type: request.type,
@@ -119,21 +123,21 @@
     });
   }
 
-  /** Closes the stream to a peer that does not answer; what waits there fails. */
+  /** Closes the stream to a peer that does not answer; its pending requests fail. */
   closePeer(address: string): void {
     const opening = this.streams.get(address);
     this.streams.delete(address);
     if (opening) closeOnceOpen(opening);
   }
 
-  /** Closes every stream and takes no more. */
+  /** Closes all streams and stops accepting new ones. */
   close(): void {
     this.parts.network.close();
     for (const session of this.sessions) session.close();
   }
 
-  // A silent stream would cost each request that follows its whole time. Where a
-  // second one follows, whatever silenced them has most likely met the idle ones.
+  // On an unresponsive stream, each further request would use up its whole time-out. If a
+  // second stream becomes unresponsive, the same fault has most likely hit the idle ones.
   private closeUnresponsive(address: string, {session}: PeerStream): void {
     const {clock, logger} = this.parts;
     logger.logEvent('peer.stream-silent', {address});
@@ -156,7 +160,7 @@
   private openPeer(address: string): Promise<PeerStream> {
     const existing = this.streams.get(address);
     if (existing) {
-      // Taken out and put in again, so that the one unused longest comes first.
+      // Inserted again, so that the least recently used stream comes first.
       this.streams.delete(address);
       this.streams.set(address, existing);
       return existing;
@@ -288,7 +292,7 @@
     stream => {
       if (mayClose(stream)) stream.session.close();
     },
-    // One that cannot be opened has nothing to close, and leaves the list itself.
+    // A stream that failed to open needs no closing and is removed by openPeer.
     () => {},
   );
 }
--- a/packages/peers/src/peer-network.ts
+++ b/packages/peers/src/peer-network.ts
@@ -1,24 +1,24 @@
 /** A byte stream to a peer. */
 export interface PeerSocket {
   send(bytes: Uint8Array): void;
-  /** Sets the function that gets the bytes that arrive. */
+  /** Sets the function that receives incoming bytes. */
   setDataHandler(handleData: (bytes: Uint8Array) => void): void;
-  /** Sets the function that is called once when the stream has ended. */
+  /** Sets the function that is called once, when the stream has ended. */
   setCloseHandler(handleClose: () => void): void;
   close(): void;
 }
 
-/** Makes and takes byte streams between instances. */
+/** Opens and accepts byte streams between instances. */
 export abstract class PeerNetwork {
-  /** Starts taking streams; resolves to the address in use. */
+  /** Starts accepting streams; resolves to the bound address. */
   abstract listen(
     address: string,
     handleSocket: (socket: PeerSocket) => void,
   ): Promise<string>;
 
-  /** Opens a stream. */
+  /** Opens a stream; rejects if the peer cannot be reached. */
   abstract connect(address: string): Promise<PeerSocket>;
 
-  /** Stops taking streams. */
+  /** Stops accepting streams. */
   abstract close(): void;
 }
--- a/packages/peers/src/peer-stream.ts
+++ b/packages/peers/src/peer-stream.ts
@@ -2,7 +2,7 @@
 import type {PeerReply, PeerRequest} from './messages.ts';
 import type {Session} from './session.ts';
 
-/** A request that waits for its reply. */
+/** A request that awaits its reply. */
 export interface PendingRequest {
   readonly resolve: (reply: PeerReply) => void;
   readonly reject: (error: Error) => void;
@@ -10,25 +10,24 @@
 }
 
 /**
- * Milliseconds without a word, while requests run out of their time, after which
- * a stream counts as silent. Longer than a busy process stands still (0.3 s at a
- * start), and short enough that a question on another stream fits in the time
- * in which changes must be in force.
+ * Milliseconds without a message, while requests time out, after which a stream counts
+ * as unresponsive. Longer than a busy process stalls (0.3 s at a start), and short enough
+ * that a request on another stream fits within the time in which changes must be in
+ * force.
  */
 const UNRESPONSIVE_MS = 600;
 
 /**
- * A stream that this instance has opened to a peer, with the requests that wait
- * on it. A connection may fall silent without a reset; the time-outs of requests
- * are what shows it.
+ * A stream that this instance has opened to a peer, with its pending requests. A
+ * connection may stop delivering without a reset; only the time-outs of requests reveal
+ * it.
  */
 export class PeerStream {
   readonly session: Session;
   private readonly clock: Clock;
   private readonly pending = new Map<number, PendingRequest>();
   /**
-   * When the oldest of the requests was sent that ran out of time since the
-   * peer was last heard.
+   * Send time of the first request that timed out since the last message from the peer.
    */
   private unansweredSinceMs: number | undefined;
 
@@ -37,13 +36,13 @@
     this.clock = clock;
   }
 
-  /** Sends a request and keeps it until its reply is there. */
+  /** Sends a request and keeps it as pending until its reply arrives. */
   sendRequest(id: number, request: PeerRequest, pending: PendingRequest): void {
     this.pending.set(id, pending);
     this.session.sendEnvelope({kind: 'request', id, request});
   }
 
-  /** Passes a reply on to whoever waits for it. */
+  /** Resolves the pending request of a reply; ignores replies to requests timed out. */
   handleReply(id: number, reply: PeerReply): void {
     const pending = this.pending.get(id);
     this.pending.delete(id);
@@ -51,20 +50,20 @@
     pending?.resolve(reply);
   }
 
-  /** Returns whether nothing waits on it. */
+  /** Returns whether no request is pending. */
   isIdle(): boolean {
     return this.pending.size === 0;
   }
 
-  /** Notes that the peer was heard just now. */
+  /** Records that a message from the peer has just arrived. */
   recordContact(): void {
     this.unansweredSinceMs = undefined;
   }
 
   /**
-   * Notes that a request has run out of its time.
+   * Records that a request has timed out.
    *
-   * @returns Whether the stream counts as silent.
+   * @returns Whether the stream counts as unresponsive.
    */
   recordTimeout(id: number, sentAtMs: number): boolean {
     this.pending.delete(id);
@@ -72,7 +71,7 @@
     return this.clock.getNow() - this.unansweredSinceMs >= UNRESPONSIVE_MS;
   }
 
-  /** Fails every request that waits. */
+  /** Rejects all pending requests. */
   failPending(error: Error): void {
     for (const {reject, timer} of this.pending.values()) {
       timer.cancel();
--- a/packages/peers/src/revision-gossip.ts
+++ b/packages/peers/src/revision-gossip.ts
@@ -4,17 +4,17 @@
 import type {PeerRecord, PeerReply} from './messages.ts';
 import type {PeerLink} from './peer-link.ts';
 
-/** What the exchange works with. */
+/** Dependencies of RevisionGossip. */
 export interface RevisionGossipParts {
   readonly link: PeerLink;
   readonly membership: Membership;
   readonly clock: Clock;
   readonly random: () => number;
-  /** Addresses to ask where no peer is known yet. */
+  /** Addresses to contact while too few peers are reachable. */
   readonly seeds: readonly string[];
-  /** Returns the revision in force and the change that made it. */
+  /** Returns the revision in force and the id of the change that created it. */
   readonly getRevision: () => {revision: number; changeId: string};
-  /** Called where a peer has a newer revision, to read it from the service. */
+  /** Called if a peer has a newer revision, to read it from the store. */
   readonly refresh: () => Promise<void>;
   readonly offerSnapshot: (
     snapshot: ConfigurationSnapshot,
@@ -22,19 +22,19 @@
   ) => void;
 }
 
-/** Milliseconds between two rounds. */
+/** Milliseconds between two gossip rounds. */
 const ROUND_MS = 1000;
 /**
- * Peers asked in a round: the cost of an instance does not grow with the
- * fleet.
+ * Peers contacted in a round; fixed, so that the cost for an instance does not grow
+ * with the fleet.
  */
 const FAN_OUT = 3;
-/** Milliseconds for a peer's answer, a snapshot on a thin link included. */
+/** Milliseconds for a peer's reply, including a snapshot over a slow link. */
 const TIMEOUT_MS = 1500;
 
 /**
- * Tells a few peers a second which revision is in force, and learns of newer
- * ones.
+ * Announces the revision in force to a few peers each second, and obtains newer
+ * revisions from the store or from these peers.
  */
 export class RevisionGossip {
   private readonly parts: RevisionGossipParts;
@@ -48,7 +48,7 @@
     });
   }
 
-  /** Exchanges until stopped. */
+  /** Runs gossip rounds until stopped. */
   start(): Promise<void> {
     return this.task.start();
   }
@@ -57,7 +57,7 @@
     this.task.stop();
   }
 
-  /** Asks a few peers once; the daemon does so before it is ready. */
+  /** Contacts a few peers once; the daemon does so before it reports ready. */
   async runRound(): Promise<void> {
     const addresses = this.chooseAddresses();
     await Promise.all(addresses.map(address => this.exchangeWith(address)));
@@ -69,8 +69,9 @@
     const chosen = choosePeersAcrossDomains(peers, FAN_OUT, random).map(
       ({address}) => address,
     );
-    // With few peers at hand the list may be an outage's or a backup's: the
-    // seeds of the settings and those that did not answer get their turn.
+    // With few reachable peers, the list may be left over from an outage or restored
+    // from a backup: the configured seeds and the peers that did not answer fill up
+    // the round.
     const others = [...seeds, ...membership.listPeers().map(getAddress)];
     const rest = others.filter(address => !chosen.includes(address));
     const start = Math.floor(random() * Math.max(1, rest.length));
@@ -96,8 +97,8 @@
     if (membership.listPeers().length === 0) await this.readMembers(address);
   }
 
-  // The service comes first, since it holds the truth; the peer's copy serves
-  // where the service is down or behind.
+  // The store comes first, since it is authoritative; the peer's copy is used if the
+  // store is down or behind.
   private async readNewerRevision(address: string): Promise<void> {
     const {link, refresh, getRevision, offerSnapshot} = this.parts;
     const before = getRevision().revision;
@@ -132,7 +133,7 @@
   return address;
 }
 
-/** Chooses peers at random, each failure domain in its turn. */
+/** Chooses random peers, from as many failure domains as possible. */
 export function choosePeersAcrossDomains(
   peers: readonly PeerRecord[],
   count: number,
--- a/packages/peers/src/session.ts
+++ b/packages/peers/src/session.ts
@@ -21,29 +21,29 @@
 } from './messages.ts';
 import type {PeerSocket} from './peer-network.ts';
 
-/** Bytes of a handshake message, at most: nobody has proved anything yet. */
+/** Largest handshake message in bytes; small, as the peer is not authenticated yet. */
 const MAX_HANDSHAKE_BYTES = 1024;
-/** Bytes of the tag of a frame: half of a SHA-256, as HMAC allows. */
+/** Bytes of a frame's authentication tag: half of an HMAC-SHA-256, as HMAC permits. */
 const TAG_BYTES = 16;
-/** Random bytes of a side; no two sessions share them. */
+/** Random bytes from each side, so that no two sessions have the same transcript. */
 const NONCE_BYTES = 16;
 
-/** Which side of a stream this instance is. */
+/** The side of a stream that this instance is on. */
 export type SessionRole = 'dialer' | 'acceptor';
 
-/** What a session tells its owner. */
+/** Callbacks of a session. */
 export interface SessionHandlers {
-  /** Both sides have proved that they hold the key. */
+  /** Called once both sides have proved that they hold the key. */
   handleOpen(peer: string): void;
   handleEnvelope(envelope: Envelope): void;
-  /** The stream has ended; `refusal` is set where this side refused the peer. */
+  /** Called when the stream has ended; `refusal` is set if this side refused the peer. */
   handleClose(refusal: string | undefined): void;
 }
 
 /**
- * One authenticated stream. Both sides prove that they hold a common key over
- * fresh nonces; after that each frame carries a tag over its number and
- * content, so none can be forged, repeated or left out.
+ * One authenticated stream. Both sides prove over fresh nonces that they hold a common
+ * key. After that, each frame carries an authentication tag over its sequence number and
+ * content, so that no frame can be forged, replayed or omitted.
  */
 export class Session {
   private readonly socket: PeerSocket;
@@ -56,8 +56,8 @@
   private key: PeerKey | undefined;
   private transcript = '';
   private peer = '';
-  // A key object, because Node prepares a key given as bytes anew each time,
-  // which costs six times what the tag itself does.
+  // A KeyObject, because Node.js prepares a key given as bytes again for each tag, which
+  // costs six times as much as the tag itself.
   private sessionKey: KeyObject | undefined;
   private isOpen = false;
   private isClosed = false;
--- a/packages/peers/src/share-allocator.ts
+++ b/packages/peers/src/share-allocator.ts
@@ -4,23 +4,23 @@
 interface ReportedDemand {
   readonly requestsPerSecond: number;
   readonly inFlight: number;
-  /** What the instance was granted then. */
+  /** The share granted in reply to this report. */
   granted: GrantedShare;
   readonly atMs: number;
 }
 
-/** What an instance asks for. */
+/** The demand that an instance reports for a workspace. */
 export interface ShareDemand {
   readonly requestsPerSecond: number;
   readonly inFlight: number;
 }
 
-/** Milliseconds for which a reported demand counts. */
+/** Milliseconds for which a reported demand is valid. */
 const DEMAND_VALID_MS = 3000;
 
 /**
- * Part of a limit that is kept for instances that have not reported yet, of what
- * nobody asks for: what a fresh instance asks for first.
+ * Fraction of a limit that is reserved, out of its unclaimed part, for instances that
+ * have not reported yet. A new instance asks for this fraction first.
  */
 export const RESERVED_FRACTION = 1 / 3;
 
@@ -31,9 +31,9 @@
 }
 
 /**
- * Shares out the limits of the workspaces that fall to this instance. Its
- * state is what was reported in the last seconds: another instance that takes
- * a workspace over has it again after one round.
+ * Divides the limits of the workspaces assigned to this instance among the instances.
+ * Its state consists of the reports of the last seconds, so that another instance that
+ * takes over a workspace has rebuilt it after one round.
  */
 export class ShareAllocator {
   private readonly clock: Clock;
@@ -44,12 +44,12 @@
   }
 
   /**
-   * Takes an instance's demand and returns its share. What others were granted
-   * holds until their next round, so that a share beyond the even part comes
-   * only from what is not granted: instances that begin one after the other
-   * would else have up to three times the limit together in that second.
+   * Records an instance's demand and returns its share. The shares granted to others are
+   * valid until their next round, so a share above the even share comes only from what is
+   * not granted. Otherwise, instances that start one after the other would together have
+   * up to three times the limit in that second.
    *
-   * @param liveCount Instances that may come for a share.
+   * @param liveCount Number of instances that may ask for a share.
    */
   grantShare(
     workspace: string,
@@ -118,8 +118,8 @@
   return Math.min(share, Math.max(evenShare, limit - granted));
 }
 
-// What nobody asks for is spread over those that have reported, less what is
-// kept for instances that may come.
+// The unclaimed part is divided among the instances that have reported, less the
+// reserve for those that have not.
 function computeShare(
   limit: number,
   demands: readonly LimitDemand[],
--- a/packages/peers/src/share-client.test.ts
+++ b/packages/peers/src/share-client.test.ts
@@ -10,24 +10,24 @@
 
 const LIMIT = 30;
 const INSTANCES = 9;
-/** Two requests at once an instance, all together. */
+/** Two concurrent requests on each instance, summed over the instances. */
 const BURST = 2 * INSTANCES;
-/** The limit, the even parts of those that begin while it is granted, the burst. */
+/** The limit, the even shares of instances that start while it is granted, the burst. */
 const MAX_PER_SECOND_AT_START =
   LIMIT + (LIMIT * (INSTANCES - 1)) / INSTANCES + BURST;
-/** Milliseconds within which the instances of a play begin. */
+/** Milliseconds within which the instances of a run start. */
 const START_WITHIN_MS = 1500;
 /** Milliseconds for two rounds of reports. */
 const SETTLE_MS = 2500;
 const LATENCY_MS = 2;
-/** An instance forgets a workspace that was not asked for in 10 s. */
+/** An instance removes the state of a workspace after 10 s without a request. */
 const IDLE_MS = 12_000;
 const WORKSPACE = {
   name: 'lima',
   limits: {requestsPerSecond: LIMIT, concurrentRequests: LIMIT},
 } as Workspace;
 
-/** Instances that share out one workspace's limits among themselves. */
+/** Instances that divide one workspace's limits among themselves. */
 class ShareFleet {
   readonly clients: ShareClient[] = [];
   private readonly clock: ManualClock;
@@ -89,7 +89,7 @@
   return {clock, clients: fleet.clients};
 }
 
-/** Asks for requests at once and returns how many were refused. */
+/** Begins concurrent requests and returns how many were refused. */
 async function countRefused(
   clock: ManualClock,
   client: ShareClient,
@@ -107,22 +107,22 @@
 }
 
 for (const instances of [1, 9]) {
-  for (const atOnce of [2, 5]) {
-    test(`${atOnce} requests at once on a fresh instance of ${instances} are let in`, async t => {
+  for (const concurrent of [2, 5]) {
+    test(`${concurrent} concurrent requests on a new instance, one of ${instances}, are admitted`, async t => {
       const {clock, clients} = startFleet(t, instances);
-      assert.equal(await countRefused(clock, clients[0], atOnce), 0);
+      assert.equal(await countRefused(clock, clients[0], concurrent), 0);
     });
 
-    test(`${atOnce} requests at once after an idle pause on one of ${instances} are let in`, async t => {
+    test(`${concurrent} concurrent requests after an idle period on one of ${instances} are admitted`, async t => {
       const {clock, clients} = startFleet(t, instances);
       await countRefused(clock, clients[0], 1);
       await clock.advance(IDLE_MS);
-      assert.equal(await countRefused(clock, clients[0], atOnce), 0);
+      assert.equal(await countRefused(clock, clients[0], concurrent), 0);
     });
   }
 }
 
-test('a caller under a third of the limit is never refused, on whichever instance it begins', async t => {
+test('a caller below a third of the limit is never refused, whichever instance it starts on', async t => {
   const {clock, clients} = startFleet(t, INSTANCES);
   const intervalMs = 1000 / (LIMIT / 3);
   for (const client of clients) {
@@ -135,7 +135,7 @@
   }
 });
 
-test('instances that begin in any order and pause let through no more than the limit and its burst', async () => {
+test('instances that start at random times admit no more than the limit and its burst', async () => {
   for (let seed = 1; seed <= 20; seed++) {
     const random = createSeededRandom(seed);
     const clock = new ManualClock();
@@ -161,14 +161,14 @@
     const maxPerSecond = computeMaxPerSecond(admittedAtMs);
     assert.ok(
       maxPerSecond <= MAX_PER_SECOND_AT_START,
-      `seed ${seed}: ${maxPerSecond} in a second`,
+      `seed ${seed}: ${maxPerSecond} requests in one second`,
     );
     const settledAtMs = startMs + START_WITHIN_MS + SETTLE_MS;
     const settled = admittedAtMs.filter(atMs => atMs >= settledAtMs);
     const maxPerSecondSettled = computeMaxPerSecond(settled);
     assert.ok(
       maxPerSecondSettled <= LIMIT + BURST,
-      `seed ${seed}: ${maxPerSecondSettled} in a second once all have begun`,
+      `seed ${seed}: ${maxPerSecondSettled} requests in one second after all have started`,
     );
   }
 });
@@ -182,7 +182,8 @@
   return Math.max(...counts);
 }
 
-// A linear congruential generator; the packages with a better one use this one.
+// A linear congruential generator; the packages that have a better generator depend on
+// this package.
 function createSeededRandom(seed: number): () => number {
   let state = seed;
   return () => {
--- a/packages/peers/src/share-client.ts
+++ b/packages/peers/src/share-client.ts
@@ -11,7 +11,7 @@
   type ShareAllocator,
 } from './share-allocator.ts';
 
-/** What the client works with. */
+/** Dependencies of ShareClient. */
 export interface ShareClientParts {
   readonly link: PeerLink;
   readonly membership: Membership;
@@ -21,25 +21,25 @@
   readonly getWorkspace: (name: string) => Workspace | undefined;
 }
 
-/** What this instance has of one workspace's limits now. */
+/** This instance's current share of one workspace's limits. */
 export interface WorkspaceShare extends GrantedShare {
-  /** Requests of the workspace in progress here. */
+  /** Requests of the workspace in flight on this instance. */
   readonly inFlight: number;
 }
 
-/** Why a request of a workspace may not begin. */
+/** The limit because of which a request is refused. */
 export type ShareRefusal = 'requests-per-second' | 'concurrent-requests';
 
 interface WorkspaceUsage {
   bucket: TokenBucket;
-  /** Resolves once the first share is there, or did not come in its time. */
+  /** Resolves once the first share has arrived or its time-out has passed. */
   firstShare: Promise<void>;
   hasFirstShare: boolean;
   share: GrantedShare;
   grantedAtMs: number;
   inFlight: number;
   peakInFlight: number;
-  /** Requests asked for since the last round, admitted or not. */
+  /** Requests that arrived since the last round, admitted or not. */
   arrivalCount: number;
   arrivalsPerSecond: number;
   lastArrivalAtMs: number;
@@ -47,24 +47,24 @@
 
 /** Milliseconds between two reports of demand. */
 const ROUND_MS = 1000;
-/** Milliseconds for the keeper's answer; less than a round. */
+/** Milliseconds for the allocator's reply; less than a round. */
 const TIMEOUT_MS = 800;
-/** Milliseconds for which a share holds; three rounds, and a late answer. */
+/** Milliseconds for which a share is valid; three rounds and a late reply. */
 const SHARE_VALID_MS = 3500;
-/** Milliseconds without a request after which a workspace is forgotten. */
+/** Milliseconds without a request after which the state of a workspace is removed. */
 const IDLE_TTL_MS = 10_000;
 /**
- * Milliseconds that requests beyond the even part wait for the first share; some
- * hundred round trips. Without one the even part decides.
+ * Milliseconds that requests beyond the even share wait for the first share; about a
+ * hundred round trips. Without a first share, the even share applies.
  */
 const FIRST_SHARE_TIMEOUT_MS = 100;
-/** What is asked for beyond the present use, so that a share can grow. */
+/** Factor between reported demand and current usage, so that a share can grow. */
 const DEMAND_HEADROOM = 1.25;
 
 /**
- * Keeps this instance within its share of each workspace's limits. Which
- * instance keeps a workspace's shares follows from its name and the live
- * instances; where the keeper cannot be asked, an even part holds.
+ * Keeps this instance within its share of each workspace's limits. The instance that
+ * allocates a workspace's shares is chosen by rendezvous hashing of the workspace's name
+ * over the live instances. While it cannot be reached, the even share applies.
  */
 export class ShareClient {
   private readonly parts: ShareClientParts;
@@ -76,9 +76,9 @@
   }
 
   /**
-   * Takes a request in, or says which limit is used up. On an instance that has
-   * just met the workspace, requests beyond the even part wait for the first
-   * share: a pair of requests at once would else be refused far from the limit.
+   * Admits a request, or returns the limit that is used up. While an instance awaits its
+   * first share of a workspace, requests beyond the even share wait as well: otherwise
+   * two concurrent requests would be refused far below the limit.
    */
   async beginRequest(workspace: Workspace): Promise<ShareRefusal | undefined> {
     const usage = this.getUsage(workspace);
@@ -101,7 +101,7 @@
     return undefined;
   }
 
-  /** A request that was taken in has ended. */
+  /** Records the end of an admitted request. */
   endRequest(workspace: Workspace): void {
     this.getUsage(workspace).inFlight -= 1;
   }
@@ -111,12 +111,12 @@
     return usage && {...usage.share, inFlight: usage.inFlight};
   }
 
-  /** Returns milliseconds until the workspace's next request may begin. */
+  /** Returns the milliseconds until the rate limit admits the workspace's next request. */
   getWaitMs(workspace: Workspace): number {
     return this.getUsage(workspace).bucket.getWaitMs();
   }
 
-  /** Reports demands and takes shares until stopped. */
+  /** Reports demand and refreshes shares until stopped. */
   async start(): Promise<void> {
     const {clock, random} = this.parts;
     const {signal} = this.controller;
@@ -202,7 +202,7 @@
     const {clock} = this.parts;
     const share = this.computeEvenShare(workspace);
     const usage: WorkspaceUsage = {
-      // All instances may begin together: each has its even part to begin with.
+      // All instances may start together, so each starts with its even share.
       bucket: createBucket(clock, share),
       firstShare: Promise.resolve(),
       hasFirstShare: false,
@@ -235,7 +235,7 @@
     ]);
     usage.hasFirstShare = true;
     if (!share) return;
-    // Tokens that were taken from the even part count against the first share.
+    // Tokens already taken from the even share count against the first share.
     const takenCount = usage.bucket.getTakenCount();
     usage.share = share;
     usage.grantedAtMs = clock.getNow();
@@ -272,9 +272,10 @@
   return new TokenBucket(clock, requestsPerSecond, getBurst(requestsPerSecond));
 }
 
-// Half a second's worth: enough for an uneven balancer, and small against what
-// a limit is there to keep off. Below two, what is left over between requests
-// would be lost: 100 instances with 2 a second each used 70 % of their limit.
+// Half a second's worth of requests: enough for an uneven load balancer, and small
+// compared with the overload that a limit guards against. Below two, the tokens left over
+// between requests would be lost: 100 instances with 2 requests per second each used 70 %
+// of their limit.
 function getBurst(requestsPerSecond: number): number {
   return Math.max(2, requestsPerSecond / 2);
 }
--- a/packages/peers/src/tcp-peer-network.ts
+++ b/packages/peers/src/tcp-peer-network.ts
@@ -8,12 +8,13 @@
 } from 'node:net';
 import {PeerNetwork, type PeerSocket} from './peer-network.ts';
 
-/** Milliseconds for a stream to stand; some hundred round trips. */
+/** Milliseconds to establish a connection; about a hundred round trips. */
 const CONNECT_TIMEOUT_MS = 1000;
 /**
- * Probes of idle streams. Who accepted a stream sends nothing on it unasked, and
- * would keep it for good once the other side lost its power; after 25 s the
- * kernel closes it. Requests notice a silent stream much sooner.
+ * Keep-alive probes of idle streams. The side that accepted a stream sends nothing
+ * unasked, and would keep the stream forever after the other side lost power; with the
+ * probes, the kernel closes it after 25 s. Requests detect an unresponsive stream much
+ * sooner.
  */
 const KEEP_ALIVE = {
   enable: true,
@@ -22,7 +23,7 @@
   count: 3,
 };
 
-/** Streams over TCP. */
+/** Byte streams over TCP. */
 export class TcpPeerNetwork extends PeerNetwork {
   private server: Server | undefined;
 
@@ -71,7 +72,7 @@
   constructor(socket: Socket) {
     this.socket = socket;
     socket.setKeepAlive(KEEP_ALIVE);
-    // An error is followed by the close, which is what the link acts on.
+    // 'close' follows every error, and the link handles that event.
     socket.on('error', () => {});
   }
 
