--- a/packages/store-relay/src/index.ts
+++ b/packages/store-relay/src/index.ts
@@ -1,4 +1,4 @@
-/** A few instances watch the store and pass its changes on to the others. */
+/** Relays changes of the store: a few instances watch it and pass changes on to the others. */
 export {RangeMirror} from './range-mirror.ts';
 export type {RelayMembers} from './relay-members.ts';
 export {RelayServer, type RelayServerParts} from './relay-server.ts';
--- a/packages/store-relay/src/range-mirror.test.ts
+++ b/packages/store-relay/src/range-mirror.test.ts
@@ -42,7 +42,7 @@
     .sort();
 }
 
-test('changes that come before the first reading are kept where they are newer', () => {
+test('changes that arrive before the first full read are applied after it if they are newer', () => {
   const mirror = createMirror();
   assert.equal(mirror.createRangeResult(), undefined);
   assert.equal(mirror.listChanges(0), undefined);
@@ -52,7 +52,7 @@
   assert.deepEqual(mirror.listChanges(5), [createPut('a/2', 7)]);
 });
 
-test('changes are told from any revision that is known, once each', () => {
+test('changes are listed from any revision after the first full read, each once', () => {
   const mirror = createMirror();
   mirror.applyRangeResult(createResult(5, {'a/1': 4}));
   const events = [createPut('a/2', 7), createDelete('a/1', 9)];
@@ -65,14 +65,14 @@
   assert.deepEqual(listKeys(mirror), ['a/2@7']);
 });
 
-test('changes of one transaction share a revision and are all taken', () => {
+test('all changes of one transaction are applied although they share a revision', () => {
   const mirror = createMirror();
   mirror.applyRangeResult(createResult(5, {}));
   mirror.applyEvents([createPut('a/1', 6), createPut('a/2', 6)]);
   assert.deepEqual(listKeys(mirror), ['a/1@6', 'a/2@6']);
 });
 
-test('a newer reading brings what differs, an older one nothing', () => {
+test('a newer full read is applied as its differences, an older one is ignored', () => {
   const mirror = createMirror();
   mirror.applyRangeResult(createResult(5, {'a/1': 3, 'a/2': 4}));
   assert.deepEqual(mirror.applyRangeResult(createResult(5, {})), []);
@@ -88,7 +88,7 @@
   assert.deepEqual(listKeys(mirror), ['a/2@8', 'a/3@7']);
 });
 
-test('what is no longer kept is not told', () => {
+test('changes are not listed from a revision whose history is no longer retained', () => {
   const mirror = createMirror();
   mirror.applyRangeResult(createResult(1, {}));
   const events = Array.from({length: 1500}, (_, index) =>
--- a/packages/store-relay/src/range-mirror.ts
+++ b/packages/store-relay/src/range-mirror.ts
@@ -6,18 +6,18 @@
 } from '@hollowstack/store';
 
 /**
- * Changes kept for peers that are behind; a peer asks several times a second,
- * and a restart of a whole fleet of 300 brings two changes an instance.
+ * Changes retained for peers that are behind. A peer polls several times a second, and a
+ * restart of a whole fleet of 300 makes two changes per instance.
  */
 const MAX_RETAINED_EVENTS = 1000;
 
-/** What is known of one range of the store: its content and its latest changes. */
+/** A local copy of one range of the store: its content and its latest changes. */
 export class RangeMirror {
   readonly range: KeyRange;
   private keyValues = new Map<string, KeyValue>();
   private events: WatchEvent[] = [];
   private storeId = '';
-  /** Revision behind which `events` are whole; undefined before a reading. */
+  /** Revision after which `events` are complete; undefined before the first full read. */
   private historyStartRevision: number | undefined;
   private revision = 0;
 
@@ -25,21 +25,21 @@
     this.range = range;
   }
 
-  /** Returns the revision of the newest change that is known. */
+  /** Returns the store revision of the latest change or full read; 0 before both. */
   getRevision(): number {
     return this.revision;
   }
 
-  /** Returns whether content and changes are known. */
+  /** Returns whether the content is known, as it is from the first full read on. */
   isComplete(): boolean {
     return this.historyStartRevision !== undefined;
   }
 
   /**
-   * Takes a reading. The first one is the content from which changes are counted.
-   * A later one brings what differs from the known content, if it is newer.
+   * Applies a full read of the range. The first one sets the content; a later one, if it
+   * is newer, is applied as the changes by which it differs from the known content.
    *
-   * @returns The changes that it brings to content that was known.
+   * @returns The changes to content that was known before.
    */
   applyRangeResult(result: RangeResult): readonly WatchEvent[] {
     if (this.isComplete()) return this.applyNewerResult(result);
@@ -55,15 +55,15 @@
   }
 
   /**
-   * Takes changes in the store's order and passes over those that are known.
+   * Applies changes in the store's order and skips those that are known.
    *
-   * @returns The changes that are new.
+   * @returns The changes that were not known.
    */
   applyEvents(events: readonly WatchEvent[]): readonly WatchEvent[] {
     const newEvents: WatchEvent[] = [];
     const previousRevision = this.revision;
     for (const event of events) {
-      // One transaction gives several changes the same revision.
+      // The changes of one transaction share a revision.
       if (event.modRevision <= previousRevision) continue;
       this.revision = Math.max(this.revision, event.modRevision);
       this.events.push(event);
@@ -74,7 +74,7 @@
     return newEvents;
   }
 
-  /** Returns the content, or undefined while it is not known. */
+  /** Returns the content, or undefined before the first full read. */
   createRangeResult(): RangeResult | undefined {
     if (!this.isComplete()) return undefined;
     return {
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Returns the changes behind a revision; undefined where some of them are not
-   * known.
+   * Returns the changes after a revision, or undefined if some of them are not known or
+   * no longer retained.
    */
   listChanges(sinceRevision: number): readonly WatchEvent[] | undefined {
     if (
--- a/packages/store-relay/src/range-mirrors.ts
+++ b/packages/store-relay/src/range-mirrors.ts
@@ -6,11 +6,11 @@
 } from '@hollowstack/store';
 import {RangeMirror} from './range-mirror.ts';
 
-/** The mirrors of all ranges that an instance follows, by their first keys. */
+/** The mirrors of all ranges that an instance follows, by the ranges' first keys. */
 export class RangeMirrors {
   private readonly mirrors = new Map<string, RangeMirror>();
 
-  /** Begins anew, with nothing known. */
+  /** Replaces all mirrors by empty ones. */
   replaceRanges(ranges: readonly KeyRange[]): void {
     this.mirrors.clear();
     for (const range of ranges) {
@@ -26,12 +26,12 @@
     return [...this.mirrors.values()].map(({range}) => range);
   }
 
-  /** Returns whether content and changes of all ranges are known. */
+  /** Returns whether the content of all ranges is known. */
   isComplete(): boolean {
     return [...this.mirrors.values()].every(mirror => mirror.isComplete());
   }
 
-  /** Takes changes of any range and returns those that are new. */
+  /** Applies changes of any ranges and returns those that were not known. */
   applyEvents(events: readonly WatchEvent[]): WatchEvent[] {
     return [...this.mirrors.values()].flatMap(mirror =>
       mirror.applyEvents(
@@ -40,15 +40,15 @@
     );
   }
 
-  /** Takes the reading of a range and returns the changes that it brings. */
+  /** Applies a full read of a range and returns the changes to its known content. */
   applyRangeResult(start: string, result: RangeResult): readonly WatchEvent[] {
     return this.mirrors.get(start)?.applyRangeResult(result) ?? [];
   }
 
   /**
-   * Returns the revision from which changes of all ranges are still to come.
+   * Returns the revision after which changes of some range are still missing.
    *
-   * @param startRevision Counts for ranges that were not read yet.
+   * @param startRevision Revision to assume for ranges that have not been read yet.
    */
   getOldestRevision(startRevision: number): number {
     const revisions = [...this.mirrors.values()].map(mirror =>
--- a/packages/store-relay/src/relay-client.ts
+++ b/packages/store-relay/src/relay-client.ts
@@ -19,49 +19,51 @@
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly link: Pick<PeerLink, 'sendRequest'>;
-  /** Called from the first question on. */
+  /** Returns the member list; called no earlier than the first request to a peer. */
   readonly getMembers: () => RelayMembers;
-  /** Lists the instances that watch the store, as far as is known here. */
+  /** Lists the instances that watch the store, as far as this instance knows. */
   readonly listWatchers: () => readonly PeerRecord[];
-  /** Takes what peers send. */
+  /** Receives the content and changes that peers send. */
   readonly mirrors: RangeMirrors;
-  /** Milliseconds in which a change must be in force here. */
+  /** Milliseconds within which a change must be in force on this instance. */
   readonly followWithinMs: number;
 }
 
-/** What a source has told. */
+/** What one poll of a source returned. */
 export interface RelayUpdate {
   readonly events: readonly WatchEvent[];
-  /** Whether the source's watch began after the store was away, and this is news. */
+  /**
+   * Whether the source's watch began after an outage of the store and the source did not
+   * have all requested changes.
+   */
   readonly isAfterOutage: boolean;
   readonly progress: readonly WatchProgress[];
 }
 
-/** What whole ranges of a peer brought. */
+/** What a full read of ranges from a peer returned. */
 interface RangesUpdate {
   readonly events: readonly WatchEvent[];
   readonly progress: readonly WatchProgress[];
 }
 
 /**
- * Part of the time in which a change must be in force for which a peer may hold
- * a question without news: a silent peer and the question to the next one fit in
- * that time.
+ * Fraction of `followWithinMs` for which a peer may hold a poll without changes. An
+ * unresponsive peer and the poll of the next one fit in that time.
  */
 const LONG_POLL_FRACTION = 0.2;
 /**
- * Part of it beyond which a peer that holds a question counts as silent. Two
- * silent peers and the question to a third take 0.7 of the time.
+ * Fraction of `followWithinMs` after the end of a poll at which the peer counts as
+ * unresponsive. Two unresponsive peers and the poll of a third take 0.7 of the time.
  */
 const TIMEOUT_MARGIN_FRACTION = 0.15;
-/** Milliseconds for whole ranges: some hundred round trips, on a thin link. */
+/** Milliseconds for a full read of ranges: about a hundred round trips, on a slow link. */
 const READ_TIMEOUT_MS = 500;
-/** Milliseconds for a first answer; a start goes on with the store instead. */
+/** Milliseconds for a full read from a peer at the start; after that, the store is read. */
 const START_READ_TIMEOUT_MS = 250;
-/** Peers asked at a start before the store is read. */
+/** Peers asked at the start before the store is read. */
 const MAX_START_SOURCES = 2;
 
-/** Asks the instances that watch the store, and remembers which of them failed. */
+/** Polls the instances that watch the store, and remembers which of them failed. */
 export class RelayClient {
   private readonly parts: RelayClientParts;
   private readonly sources: RelaySources;
@@ -73,7 +75,7 @@
     this.sources = new RelaySources(parts.clock);
   }
 
-  /** Chooses the peer to ask next; undefined where all have failed lately. */
+  /** Chooses the peer to ask next, or undefined if all have failed recently. */
   chooseSource(): PeerRecord | undefined {
     const {getMembers, listWatchers} = this.parts;
     const self = getMembers().getSelf();
@@ -81,7 +83,7 @@
   }
 
   /**
-   * Lets peers that could not reach the store be asked again.
+   * Makes peers that could not reach the store eligible again.
    *
    * @returns Whether there were any.
    */
@@ -89,13 +91,13 @@
     return this.sources.restoreAwaySources();
   }
 
-  /** Asks the next peer at once, in place of a question that waits for changes. */
+  /** Aborts a poll that waits for changes and asks the next peer to reply at once. */
   refresh(): void {
     this.isRefreshDue = true;
     this.pollAbort.abort();
   }
 
-  /** Has all ranges from a peer; undefined where none had them. */
+  /** Reads all ranges from a peer; undefined if no peer provides them. */
   async readAll(): Promise<readonly WatchProgress[] | undefined> {
     const starts = this.parts.mirrors.listRanges().map(({start}) => start);
     for (let asked = 0; asked < MAX_START_SOURCES; asked++) {
@@ -107,7 +109,7 @@
     return undefined;
   }
 
-  /** Waits for changes at one peer; undefined where it cannot be used. */
+  /** Polls one peer for changes; undefined if the poll failed or was aborted. */
   async askForChanges(source: PeerRecord): Promise<RelayUpdate | undefined> {
     const {clock, mirrors, followWithinMs} = this.parts;
     const waitMs = this.isRefreshDue ? 0 : followWithinMs * LONG_POLL_FRACTION;
@@ -210,7 +212,8 @@
   }
 }
 
-// The question left before it arrived, so the sum is no later than what the peer knows.
+// The request was sent before it arrived, so the sum is never later than the time up to
+// which the peer knows every change.
 function listProgress(
   ranges: ReadonlyArray<{start: string; knownUntilOffsetMs?: number}>,
   askedAtMs: number,
--- a/packages/store-relay/src/relay-members.ts
+++ b/packages/store-relay/src/relay-members.ts
@@ -1,13 +1,13 @@
 import type {PeerRecord} from '@hollowstack/peers';
 
-/** What the relay asks of the list of instances. */
+/** The part of Membership that the relay uses. */
 export interface RelayMembers {
   getSelf(): PeerRecord;
   listReachablePeers(): PeerRecord[];
-  /** Returns what was computed from the list under a name until the list changes. */
+  /** Returns a value computed from the list, cached under a name until the list changes. */
   getCached<T>(name: string, compute: () => T): T;
-  /** Notes that a peer does not answer. */
+  /** Records that a peer does not answer. */
   recordUnreachable(id: string): void;
-  /** Reads the list; an outage leaves the last one standing. */
+  /** Reads the list from the store; keeps the previous one if the store is away. */
   refresh(): Promise<void>;
 }
--- a/packages/store-relay/src/relay-role.ts
+++ b/packages/store-relay/src/relay-role.ts
@@ -6,14 +6,14 @@
 /** Dependencies of RelayRole. */
 export interface RelayRoleParts {
   readonly clock: Clock;
-  /** Called from the first question on. */
+  /** Returns the member list; called no earlier than the first check of the role. */
   readonly getMembers: () => RelayMembers;
 }
 
-/** Milliseconds between two looks whether this instance is still to watch. */
+/** Milliseconds between two checks whether this instance still has to watch. */
 const CHECK_INTERVAL_MS = 1000;
 
-/** Whether this instance watches the store, by the list of instances. */
+/** Determines from the member list whether this instance watches the store. */
 export class RelayRole {
   private readonly parts: RelayRoleParts;
 
@@ -27,7 +27,7 @@
     return this.listWatchers().some(watcher => watcher.id === id);
   }
 
-  /** Lists the instances that watch the store, as far as is known here. */
+  /** Lists the instances that watch the store, as far as this instance knows. */
   listWatchers(): readonly PeerRecord[] {
     const members = this.parts.getMembers();
     return members.getCached('store-watchers', () =>
@@ -36,11 +36,11 @@
   }
 
   /**
-   * Calls `handleEnd` once this instance need not watch the store any more: when
-   * the time is over, or where there is none, when others are chosen. A change
-   * of the list that is gone at the next look moves nobody.
+   * Calls `handleEnd` once this instance no longer has to watch the store: after
+   * `untilMs`, or, if it is undefined, when other instances are chosen. Two successive
+   * checks must agree, so that a short-lived change of the list moves no watch.
    *
-   * @returns Ends the looks.
+   * @returns A function that stops the checks.
    */
   watchForRoleEnd(
     untilMs: number | undefined,
--- a/packages/store-relay/src/relay-server.ts
+++ b/packages/store-relay/src/relay-server.ts
@@ -17,7 +17,7 @@
 type RelayRead = Extract<PeerRequest, {type: 'relay-read'}>;
 type RelayChanges = Extract<PeerReply, {type: 'relay-changes'}>;
 
-/** Tells peers of the store's changes while this instance watches it. */
+/** Serves the store's changes to peers while this instance watches the store. */
 export class RelayServer {
   private readonly parts: RelayServerParts;
   private readonly compressor = new TextCompressor();
@@ -26,7 +26,7 @@
     this.parts = parts;
   }
 
-  /** Answers as soon as there are changes, and without any once the time is over. */
+  /** Replies as soon as there are changes, or without any after the requested time. */
   async answerWatch(request: RelayWatch): Promise<PeerReply> {
     const {clock, store} = this.parts;
     const arrivedAtMs = clock.getNow();
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Answers with the content of ranges. */
+  /** Replies with the content of ranges, or as unavailable if any of them is not known. */
   answerRead({starts, packed}: RelayRead): PeerReply {
     const {clock, store} = this.parts;
     if (store.getState() !== 'watching') return this.createUnavailableReply();
--- a/packages/store-relay/src/relay-sources.ts
+++ b/packages/store-relay/src/relay-sources.ts
@@ -5,17 +5,17 @@
 export type SourceFailure = 'silent' | 'not-watching' | 'away';
 
 /**
- * Milliseconds for which a source that failed is left out; about as long as a
- * watcher needs to find the store again.
+ * Milliseconds for which a source that failed is left out; about as long as a watcher
+ * needs to reach the store again.
  */
 const FAILURE_COOLDOWN_MS = 2000;
 /**
- * Sources asked in turn: one that was cut off from the store without noticing
- * is found out by the other at the next question.
+ * Sources that are asked alternately. If one is cut off from the store without detecting
+ * it, the next poll gets the missing changes from the other.
  */
 const MAX_ALTERNATING_SOURCES = 2;
 
-/** Remembers which sources failed, and asks the others in turn. */
+/** Remembers which sources failed, and alternates between the others. */
 export class RelaySources {
   private readonly clock: Clock;
   private readonly failures = new Map<
@@ -28,7 +28,11 @@
     this.clock = clock;
   }
 
-  /** Chooses among sources, the preferred ones first; undefined where all failed. */
+  /**
+   * Chooses the next source; undefined if all have failed recently.
+   *
+   * @param sources The sources in order of preference.
+   */
   chooseSource(sources: readonly PeerRecord[]): PeerRecord | undefined {
     this.removeOldFailures();
     const usable = sources
@@ -44,7 +48,7 @@
   }
 
   /**
-   * Lets sources that could not reach the store be asked again.
+   * Makes sources that could not reach the store eligible again.
    *
    * @returns Whether there were any.
    */
--- a/packages/store-relay/src/relayed-store.test.ts
+++ b/packages/store-relay/src/relayed-store.test.ts
@@ -6,9 +6,9 @@
 
 const FLEET_SIZE = 60;
 const DOMAIN_COUNT = 5;
-/** Three of each failure domain. */
+/** Three in each failure domain. */
 const WATCHER_COUNT = 15;
-/** Milliseconds after which a fleet that started at once has its watchers. */
+/** Milliseconds after which a fleet that started at once has chosen its watchers. */
 const START_MS = 6000;
 
 interface StartedFleet {
@@ -39,7 +39,7 @@
     .length;
 }
 
-test('three instances of each failure domain watch, and all hear of a change', async t => {
+test('three instances of each failure domain watch the store, and changes reach all instances', async t => {
   const {fleet, clock} = await startFleet(t);
   assert.equal(listWatchers(fleet).length, WATCHER_COUNT);
   assert.equal(countWithout(fleet.instances, 'test/a', '1'), 0);
@@ -56,7 +56,7 @@
   assert.equal(fleet.store.watchCount, watchCount);
 });
 
-test('a start costs each instance few reads, and the fleet few watches', async t => {
+test('a start takes few reads per instance and few watches in the fleet', async t => {
   const {fleet} = await startFleet(t);
   assert.ok(
     fleet.store.readCount <= 3 * FLEET_SIZE + WATCHER_COUNT,
@@ -68,7 +68,7 @@
   );
 });
 
-test('a change reaches all in time while two of three watchers of a domain are silent', async t => {
+test('a change reaches all instances in time while two of three watchers of a domain refuse peers', async t => {
   const {fleet, clock} = await startFleet(t);
   const refusing = listWatchers(fleet)
     .filter(({failureDomain}) => failureDomain === 'domain-0')
@@ -79,7 +79,7 @@
   assert.equal(countWithout(fleet.instances, 'test/b', '1'), 0);
 });
 
-test('a change reaches all in time though two watchers of each domain never answer', async t => {
+test('a change reaches all instances in time while two watchers of each domain never answer', async t => {
   const {fleet, clock} = await startFleet(t);
   const domainsWithAnswer = new Set<string>();
   for (const watcher of listWatchers(fleet)) {
@@ -93,7 +93,7 @@
   assert.equal(countWithout(fleet.instances, 'test/b', '1'), 0);
 });
 
-test('a change reaches all in time while all watchers refuse peers', async t => {
+test('a change reaches all instances in time while all watchers refuse peers', async t => {
   const {fleet, clock} = await startFleet(t);
   for (const watcher of listWatchers(fleet)) watcher.peerPath = 'refused';
   await clock.advance(100);
@@ -102,7 +102,7 @@
   assert.equal(countWithout(fleet.instances, 'test/b', '1'), 0);
 });
 
-test('a watcher that no longer hears of the store without knowing keeps nobody behind', async t => {
+test('a watcher that has lost the store without detecting it delays no other instance', async t => {
   const {fleet, clock} = await startFleet(t);
   const [cutOff] = listWatchers(fleet);
   cutOff.client.path = 'silent';
@@ -112,7 +112,7 @@
   assert.equal(countWithout(others, 'test/b', '1'), 0);
 });
 
-test('watchers that the store turns away send their followers to others', async t => {
+test('followers switch to other watchers when the store refuses their own', async t => {
   const {fleet, clock} = await startFleet(t);
   const refused = listWatchers(fleet).filter(
     ({failureDomain}) => failureDomain === 'domain-1',
@@ -127,7 +127,7 @@
   assert.equal(countWithout(others, 'test/b', '1'), 0);
 });
 
-test('an outage costs followers next to no calls, and each hears once that it is over', async t => {
+test('an outage causes few reads by followers, and each is notified once of its end', async t => {
   const {fleet, clock} = await startFleet(t);
   const watchers = listWatchers(fleet);
   const followers = fleet.instances.filter(
@@ -147,7 +147,7 @@
   assert.ok(reads <= 3 * WATCHER_COUNT, `${reads} reads`);
 });
 
-test('a fleet of nine in three failure domains watches as a whole', async t => {
+test('in a fleet of nine over three failure domains, all instances watch the store', async t => {
   const clock = new ManualClock();
   const fleet = new TestFleet(clock);
   fleet.start(9, 3);
@@ -156,7 +156,7 @@
   assert.equal(listWatchers(fleet).length, 9);
 });
 
-test('a key that is written for the first time while a fleet starts reaches all', async t => {
+test('a key that is first written while the fleet starts reaches all instances', async t => {
   const clock = new ManualClock();
   const fleet = new TestFleet(clock, createSingleKeyRange('test/first'));
   fleet.start(9, 3);
@@ -167,12 +167,12 @@
   assert.equal(countWithout(fleet.instances, 'test/first', '1'), 0);
 });
 
-/** A link of 7 Mbit/s, in bytes a millisecond. */
-const THIN_LINK = 875;
+/** A link of 7 Mbit/s. */
+const SLOW_LINK_BYTES_PER_MS = 875;
 
-test('a configuration of 600 KB reaches a fleet with thin links in the time for changes', async t => {
+test('a configuration of 600 KB reaches all instances in time over slow links', async t => {
   const {fleet, clock} = await startFleet(t);
-  fleet.linkBytesPerMs = THIN_LINK;
+  fleet.linkBytesPerMs = SLOW_LINK_BYTES_PER_MS;
   const routes = Array.from({length: 1900}, (_, index) => ({
     name: `r-${(index * 7919).toString(36)}`,
     hostname: `host-${index % 40}.example`,
--- a/packages/store-relay/src/relayed-store.ts
+++ b/packages/store-relay/src/relayed-store.ts
@@ -19,56 +19,56 @@
 
 /** Dependencies of RelayedStore. */
 export interface RelayedStoreParts {
-  /** The store itself. */
+  /** The underlying store. */
   readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly link: Pick<PeerLink, 'sendRequest'>;
-  /** Range in which the instances are registered. */
+  /** Range of keys under which instances register. */
   readonly memberRange: KeyRange;
-  /** Called from the first watch on. */
+  /** Returns the member list; called no earlier than the first watch. */
   readonly getMembers: () => RelayMembers;
-  /** Milliseconds in which a change must be in force here. */
+  /** Milliseconds within which a change must be in force on this instance. */
   readonly followWithinMs: number;
 }
 
 /**
- * Whether this instance can tell peers of changes: it watches the store, it
- * would but the store is away, or it takes them from peers itself.
+ * Whether this instance can pass changes on to peers: it watches the store, it is meant to
+ * watch but the store is away, or it receives the changes from peers itself.
  */
 export type RelayState = 'watching' | 'away' | 'following';
 
-/** A reading under way of a range that is followed. */
+/** A full read in progress of a range that is followed. */
 interface PendingRead {
-  /** Watch in whose time it was sent. */
+  /** Generation of the watch during which the read was sent. */
   readonly generation: number;
   readonly result: Promise<RangeResult>;
 }
 
-/** Where the changes come from, for the log. */
+/** Source of the changes, for the log. */
 type FeedSource = 'store' | 'peers';
 
 /**
- * Milliseconds after a start before a role is taken: processes of a fleet start
- * within 300 ms of each other, and whoever took the first list at its word
- * would watch the store for a fleet that is a fraction of its size.
+ * Milliseconds after a start before the instance takes its role. The processes of a fleet
+ * start within 300 ms of each other; an instance that relied on its first member list
+ * would watch the store as if the fleet were a fraction of its size.
  */
 const START_SETTLE_MS = 600;
-/** Milliseconds of watching the store where no peer passes changes on. */
+/** Milliseconds for which an instance watches the store if no peer passes changes on. */
 const STORE_FALLBACK_MS = 3000;
 /** Milliseconds before peers that cannot reach the store are asked again. */
 const AWAY_RETRY_MS = 250;
 /**
- * Milliseconds after an outage in which a second source that tells of it says
- * nothing new; sources are back within the 1 s of their own pauses.
+ * Milliseconds after a reported outage in which another source's report counts as the same
+ * outage; sources reconnect within the 1 s of their own back-off.
  */
 const OUTAGE_REPORT_WINDOW_MS = 5000;
 
 /**
- * The store, with its changes taken from peers that watch it. A few instances of
- * each failure domain watch; the others hold a question open at one of two of
- * them in turn, go to the next where one is silent or behind, and to the store
- * where none answers.
+ * A store whose changes come from peers that watch it. A few instances of each failure
+ * domain watch the store. The others long-poll two of these alternately, switch to the
+ * next one if a peer is unresponsive or behind, and watch the store themselves if no peer
+ * answers.
  */
 export class RelayedStore extends KeyValueStore {
   private readonly parts: RelayedStoreParts;
@@ -79,16 +79,16 @@
   private state: RelayState = 'following';
   private feed: FeedSource | undefined;
   private isFirstStart = true;
-  /** Revision from which the store's changes are still to be told. */
+  /** Store revision from which a watch of ranges that were not read yet begins. */
   private startRevision = 0;
-  /** Counts the beginnings of watches, by which late readings are told apart. */
+  /** Incremented when a watch begins; identifies reads sent before the current one. */
   private generation = 0;
-  /** Readings under way, by the range's first key. */
+  /** Full reads in progress, by the range's first key. */
   private readonly pendingReads = new Map<string, PendingRead>();
-  /** Until when every change of a range is known, by its first key. */
+  /** Time up to which every change of a range is known, by its first key. */
   private readonly knownUntilMs = new Map<string, number>();
   private handleProgress: ((progress: WatchProgress) => void) | undefined;
-  /** Failures of the store's watch, or to begin it, since it last stood. */
+  /** Failures to begin or continue a watch of the store since the last one began. */
   private watchFailures = 0;
   private beganAfterOutage = false;
   /** Whether the store was restored between the previous watch and the current one. */
@@ -108,7 +108,7 @@
     });
   }
 
-  /** Returns whether peers can be told of changes. */
+  /** Returns the state; `away` also while a watched range has not been read yet. */
   getState(): RelayState {
     if (this.state !== 'watching') return this.state;
     return this.mirrors.isComplete() ? 'watching' : 'away';
@@ -122,14 +122,14 @@
     return this.parts.store.getHistoryId();
   }
 
-  /** Returns whether the watch that peers are told from began after an outage. */
+  /** Returns whether the watch that feeds peers began after an outage of the store. */
   hasBegunAfterOutage(): boolean {
     return this.beganAfterOutage;
   }
 
   /**
-   * Returns the changes of a range, by its first key, behind a revision; undefined
-   * where some of them are not known.
+   * Returns the changes of a range, by its first key, after a revision; undefined if some
+   * of them are not known.
    */
   listChanges(
     start: string,
@@ -138,17 +138,20 @@
     return this.mirrors.findMirror(start)?.listChanges(sinceRevision);
   }
 
-  /** Returns how many instances watch the store, as far as this one knows. */
+  /** Returns the number of instances that watch the store, as far as this one knows. */
   countWatchers(): number {
     return this.role.listWatchers().length;
   }
 
-  /** Returns the content of a range, by its first key, where it is known. */
+  /** Returns the content of a range, by its first key; undefined if it is not known. */
   createRangeResult(start: string): RangeResult | undefined {
     return this.mirrors.findMirror(start)?.createRangeResult();
   }
 
-  /** Returns until when every change of a range is known, by its first key. */
+  /**
+   * Returns the time up to which every change of a range is known, by its first key;
+   * undefined before the range has been read.
+   */
   getKnownUntilMs(start: string): number | undefined {
     const isComplete = this.mirrors.findMirror(start)?.isComplete() === true;
     return isComplete ? this.knownUntilMs.get(start) : undefined;
@@ -159,13 +162,13 @@
     this.client.refresh();
   }
 
-  /** Adds a function that is called at each change until the returned one is called. */
+  /** Adds a function that is called at each change; the returned function removes it. */
   addChangeListener(listener: () => void): () => void {
     this.changeListeners.add(listener);
     return () => this.changeListeners.delete(listener);
   }
 
-  /** Reads a range; one that is followed is at hand. */
+  /** Reads a range; one that is followed is served from memory once it is known. */
   async readRange(range: KeyRange, minModRevision = 0): Promise<RangeResult> {
     if (!this.mirrors.findMirror(range.start)) {
       return this.parts.store.readRange(range, minModRevision);
@@ -222,7 +225,7 @@
     }
   }
 
-  // Has the ranges from a peer, or finds out that the store answers.
+  // Reads the ranges from a peer, or makes sure that the store answers.
   private async beginWatch(): Promise<readonly WatchProgress[] | undefined> {
     const {store, memberRange, getMembers} = this.parts;
     this.isRestored = false;
@@ -319,15 +322,15 @@
         continue;
       }
       lastContactAtMs = clock.getNow();
-      // Where the watchers cannot reach the store, it is most likely away.
+      // If the watchers cannot reach the store, it is most likely away.
       if (isAway && !(await this.isStoreReachable())) continue;
       yield* this.watchStore(signal, clock.getNow() + STORE_FALLBACK_MS);
       return;
     }
   }
 
-  // Readers take an empty list for a watch that stands anew, and ask whether
-  // that was after an outage.
+  // Readers interpret an empty list as the start of a new watch, and then ask whether it
+  // began after an outage.
   private *publishOutageEnd(): Iterable<readonly WatchEvent[]> {
     const nowMs = this.parts.clock.getNow();
     if (nowMs - this.outageEndedAtMs < OUTAGE_REPORT_WINDOW_MS) return;
@@ -345,7 +348,7 @@
     );
   }
 
-  // Readers of one range share a reading.
+  // Concurrent readers of a range share one read.
   private readFollowedRange(range: KeyRange): Promise<RangeResult> {
     const {generation, pendingReads} = this;
     const shared = pendingReads.get(range.start);
@@ -359,8 +362,8 @@
     return result;
   }
 
-  // A reading that was sent before the current watch began may lack changes from before
-  // the watch's start, which the watch does not tell either.
+  // A read that was sent before the current watch began may lack changes from before the
+  // start of the watch, which the watch does not deliver either.
   private async readForWatch(
     range: KeyRange,
     generation: number,
@@ -376,7 +379,7 @@
   }
 
   private applyFirstResult(start: string, result: RangeResult): void {
-    // A store may tell no revision with a key that is not there.
+    // A store may return no revision for a key that does not exist.
     const storeRevision = result.storeRevision || this.startRevision;
     if (storeRevision < this.startRevision) {
       throw new StoreError('the reading is older than the watch', 'none');
--- a/packages/store-relay/src/store-watchers.ts
+++ b/packages/store-relay/src/store-watchers.ts
@@ -2,21 +2,21 @@
 import {listByRendezvous} from '@hollowstack/routing';
 
 /**
- * Instances of each failure domain that watch the store themselves. Two can be
- * lost at the same moment before anyone of the domain has to ask another one;
- * a fleet of nine over three domains has no others.
+ * Instances of each failure domain that watch the store. Two of them can fail at the same
+ * time before the others in the domain have to ask another domain. In a fleet of nine over
+ * three domains, all instances watch.
  */
 const WATCHERS_PER_DOMAIN = 3;
-/** Watchers of other failure domains that are asked after those of one's own. */
+/** Watchers in other failure domains that are asked after those in the own domain. */
 const MAX_REMOTE_SOURCES = 2;
 
 const WATCHER_KEY = 'store-watcher';
 
 /**
- * Chooses the instances that watch the store: in each failure domain those with
- * the most processor, and among equals the first by rendezvous over the names.
- * Instances that know of different peers may choose differently; a chosen one
- * that does not watch says so when it is asked.
+ * Chooses the instances that watch the store: in each failure domain those with the most
+ * cores, and among equals the first by rendezvous hashing of the ids. Instances that know
+ * different peers may choose differently; a chosen instance that does not watch replies
+ * that it is unavailable.
  */
 export function chooseStoreWatchers(
   instances: readonly PeerRecord[],
@@ -33,10 +33,10 @@
 }
 
 /**
- * Lists the watchers that an instance takes changes from, the ones to ask first
- * in front: those of its own failure domain, since bytes between domains have a
- * price, then some of others. Each instance has an order of its own, so that
- * they spread over the watchers.
+ * Lists the watchers from which an instance receives changes, in order of preference:
+ * those in its own failure domain, since traffic between domains has a cost, then some in
+ * other domains. The order differs between instances, so that they spread over the
+ * watchers.
  */
 export function listRelaySources(
   self: PeerRecord,
--- a/packages/store-relay/src/test-fleet.ts
+++ b/packages/store-relay/src/test-fleet.ts
@@ -24,16 +24,16 @@
 import {RelayServer} from './relay-server.ts';
 import {RelayedStore} from './relayed-store.ts';
 
-/** Milliseconds between two looks of a watch in this store. */
+/** Milliseconds between two polls by a watch of this store. */
 const WATCH_POLL_MS = 20;
-/** Milliseconds of a call to the store or a peer. */
+/** Latency in milliseconds of a call to the store or a peer. */
 const CALL_MS = 4;
-/** Milliseconds in which a change must be in force in these tests. */
+/** Milliseconds within which a change must be in force in these tests. */
 export const FOLLOW_WITHIN_MS = 3000;
 /** The range that the instances of these tests follow. */
 export const TEST_RANGE: KeyRange = createPrefixRange('test/');
 
-/** How the store treats one instance, or an instance its peers. */
+/** How the store responds to one instance, or an instance to its peers. */
 export type PathState = 'open' | 'refused' | 'silent';
 
 /** A store in memory, shared by the instances of a test. */
@@ -73,7 +73,7 @@
     const keyValues = [...this.keyValues.values()].filter(({key}) =>
       key.startsWith(range.start),
     );
-    // As the platform's store does for a single key that is not there.
+    // The platform's store returns revision 0 for a single key that does not exist.
     const isMissing = range.end === undefined && keyValues.length === 0;
     const storeRevision = isMissing ? 0 : this.revision;
     return {storeId: 's', storeRevision, keyValues};
@@ -91,7 +91,7 @@
   }
 }
 
-/** One instance's way to the store. */
+/** One instance's connection to the store. */
 class StoreClient extends KeyValueStore {
   path: PathState = 'open';
   private readonly store: MemoryStore;
@@ -154,7 +154,7 @@
   }
 }
 
-/** What an instance of a test has heard of the followed range. */
+/** Follows a range and stores the values that arrive. */
 export class TestReader implements WatchSubscription {
   readonly range: KeyRange;
   readonly values = new Map<string, string>();
@@ -193,38 +193,38 @@
   readonly relayed: RelayedStore;
   readonly reader: TestReader;
   readonly membership: Membership;
-  /** How it treats peers that ask it. */
+  /** How the instance responds to its peers. */
   peerPath: PathState;
   stop(): void;
 }
 
-/** Instances that follow one store, over a network in memory. */
+/** Instances that follow one store over an in-memory network. */
 export class TestFleet {
   readonly store: MemoryStore;
   readonly instances: TestInstance[] = [];
-  /** Bytes that an instance sends to its peers in a millisecond. */
+  /** Bandwidth from an instance to its peers, in bytes per millisecond. */
   linkBytesPerMs = Infinity;
   private readonly clock: ManualClock;
   private readonly range: KeyRange;
   private readonly servers = new Map<string, RelayServer>();
-  /** When the link of an instance has sent all that was given to it. */
+  /** Time at which an instance's link has sent all queued bytes, by the instance's id. */
   private readonly sentAtMs = new Map<string, number>();
 
-  /** @param range What its instances follow beside the list of instances. */
+  /** @param range Range that the instances follow, besides the member list. */
   constructor(clock: ManualClock, range = TEST_RANGE) {
     this.clock = clock;
     this.range = range;
     this.store = new MemoryStore(clock);
   }
 
-  /** Starts instances, spread evenly over failure domains. */
+  /** Starts instances, distributed evenly over failure domains. */
   start(count: number, domainCount: number): void {
     for (let index = 0; index < count; index++) {
       this.startInstance(`instance-${index}`, `domain-${index % domainCount}`);
     }
   }
 
-  /** Stops all instances at once and without a word. */
+  /** Stops all instances at once. */
   stop(): void {
     for (const instance of this.instances) instance.stop();
   }
@@ -304,7 +304,7 @@
     throw new Error(`${request.type} was not expected`);
   }
 
-  // What is given to a link is sent in its order, also where nobody waits any more.
+  // A link sends replies in order, also those that have timed out at the receiver.
   private computeSentAtMs(address: string, reply: PeerReply): number {
     const nowMs = this.clock.getNow();
     if (this.linkBytesPerMs === Infinity) return nowMs;
