--- a/packages/peers/src/compressed-text.ts
+++ b/packages/peers/src/compressed-text.ts
@@ -2,66 +2,70 @@
 import {z} from 'zod';
 import {FrameError, MAX_FRAME_BYTES} from './frames.ts';
 
-export /**
- *
- */
-const compressedTextSchema = z.union([z.string(), z.instanceof(Uint8Array)]);
-/** A text as it goes to a peer: as it is, or deflated (RFC 1951) where it is long. */
+/** A plain text, or its raw deflate bytes (RFC 1951). */
+export const compressedTextSchema = z.union([
+  z.string(),
+  z.instanceof(Uint8Array),
+]);
+/** A text as it is sent to a peer: a plain string, or raw deflate bytes if it is long. */
 export type CompressedText = z.infer<typeof compressedTextSchema>;
 
-/** A deflated text. */
-type PackedBytes = Exclude<CompressedText, string>;
+/** A text as raw deflate bytes. */
+type CompressedBytes = Exclude<CompressedText, string>;
 
 /**
- * Characters from which on a text is deflated; a registration of an upstream, which
- * would gain little, has some 300.
+ * Shorter texts are sent uncompressed. The registration of an upstream has about 300
+ * characters and would gain little.
  */
-const MIN_PACKED_LENGTH = 8192;
-/** Packed texts that are remembered: the newest configurations. */
-const MAX_REMEMBERED = 4;
-/** zlib's fastest level; the higher ones take three times as long for a tenth less. */
+const MIN_COMPRESSED_CHARACTERS = 8192;
+/** Compressed texts in the cache: the newest configurations. */
+const MAX_CACHED_TEXTS = 4;
+/** zlib's fastest level; higher levels take three times as long to save a tenth more. */
 const DEFLATE_LEVEL = 1;
 
 /**
- * Deflates long texts for peers, each once. A configuration of 1,900 routes has some
- * 600 KB, and an instance that passes it on to seven others over a link of 7 Mbit/s
- * would need 5 s as it is; deflated it is a tenth of that or less.
+ * Compresses long texts for peers, and each text only once. A configuration of 1,900
+ * routes has about 600 KB; sending it to seven peers over a link of 7 Mbit/s would take
+ * 5 s. Compressed, it is a tenth of that size or less.
  */
 export class TextCompressor {
-  private readonly packed = new Map<string, PackedBytes>();
+  private readonly compressedByText = new Map<string, CompressedBytes>();
 
   /**
-   * Returns the text as it is sent.
+   * Compresses a text if it is long and the peer supports compression; otherwise returns
+   * it unchanged.
    *
-   * @param isTaken Whether the peer understands deflated texts.
+   * @param isCompressionSupported Whether the peer accepts compressed texts.
    */
-  encodeText(text: string, isTaken: boolean): CompressedText {
-    if (!isTaken || text.length < MIN_PACKED_LENGTH) return text;
-    const known = this.packed.get(text);
-    if (known) return known;
+  encodeText(text: string, isCompressionSupported: boolean): CompressedText {
+    if (!isCompressionSupported || text.length < MIN_COMPRESSED_CHARACTERS)
+      return text;
+    const cached = this.compressedByText.get(text);
+    if (cached) return cached;
     const bytes = new Uint8Array(deflateRawSync(text, {level: DEFLATE_LEVEL}));
-    this.packed.set(text, bytes);
+    this.compressedByText.set(text, bytes);
     this.removeOldest();
     return bytes;
   }
 
   private removeOldest(): void {
-    if (this.packed.size <= MAX_REMEMBERED) return;
-    const [oldest] = this.packed.keys();
-    this.packed.delete(oldest);
+    if (this.compressedByText.size <= MAX_CACHED_TEXTS) return;
+    const [oldest] = this.compressedByText.keys();
+    this.compressedByText.delete(oldest);
   }
 }
 
 /**
  * Restores a text that a peer has sent.
  *
- * @throws FrameError where it cannot be inflated within the size of a frame.
+ * @throws FrameError if the bytes are no valid deflate data, or inflate to more than the
+ *   maximum size of a frame.
  */
-export function decodeText(packed: CompressedText): string {
-  if (typeof packed === 'string') return packed;
+export function decodeText(text: CompressedText): string {
+  if (typeof text === 'string') return text;
   try {
     const options = {maxOutputLength: MAX_FRAME_BYTES};
-    return inflateRawSync(packed, options).toString('utf8');
+    return inflateRawSync(text, options).toString('utf8');
   } catch (error) {
     const reason = error instanceof Error ? error.message : String(error);
     throw new FrameError(`a deflated text cannot be read: ${reason}`);
--- a/packages/peers/src/coordinator.ts
+++ b/packages/peers/src/coordinator.ts
@@ -5,20 +5,20 @@
 const COORDINATOR_KEY = 'coordinator';
 
 /**
- * Share of the most processor that an instance needs in order to coordinate;
- * equal machines differ by less in what they report.
+ * Fraction of the largest number of cores that an instance needs in order to
+ * coordinate. The cores that equal machines report differ by less.
  */
-const STRONG_SHARE = 0.9;
+const MIN_CORES_RATIO = 0.9;
 
 /**
- * Chooses the instance that decides for all: of those known to live and with
- * the most processor, the first by rendezvous over the names. The rank needs
- * nothing that is learnt only once instances run, so that after the loss of all
- * of them every one of them expects the same coordinator from its first list on.
- * While instances know of different peers, each decides with less knowledge,
- * and nothing else.
+ * Chooses the instance that decides for all. Of this instance and the confirmed peers,
+ * those with the most cores are ranked by rendezvous hashing of their ids, and the first
+ * coordinates. The rank depends on nothing that instances learn while they run, so after
+ * a loss of all instances each of them expects the same coordinator from its first member
+ * list on. Instances that know different peers may choose different coordinators; each of
+ * these then decides with less knowledge, and nothing else changes.
  *
- * @returns undefined where it is this instance.
+ * @returns The coordinator, or undefined if it is this instance.
  */
 export function chooseCoordinator(
   membership: Membership,
@@ -30,41 +30,42 @@
 
 function findCoordinator(membership: Membership): PeerRecord | undefined {
   const peers = membership.listConfirmedPeers();
-  const isSelfOut = membership.isLeaving() && peers.length > 0;
-  const candidates = isSelfOut ? peers : [membership.getSelf(), ...peers];
-  const first = findFirst(candidates);
-  return peers.find(({id}) => id === first);
+  const isSelfExcluded = membership.isLeaving() && peers.length > 0;
+  const candidates = isSelfExcluded ? peers : [membership.getSelf(), ...peers];
+  const preferredId = findPreferredId(candidates);
+  return peers.find(({id}) => id === preferredId);
 }
 
 /**
- * Lists peers of whom nothing was heard yet and who would coordinate in place of
- * the present one, the first of them first. Others need not be asked whether
- * they live.
+ * Lists the unconfirmed peers that would replace the current coordinator, the
+ * preferred one first. Other peers need not be probed.
  *
- * @param banMs Milliseconds for which a peer that did not answer is left alone.
+ * @param cooldownMs Milliseconds for which a peer that did not answer is left out.
  */
 export function listUnconfirmedCandidates(
   membership: Membership,
-  banMs: number,
+  cooldownMs: number,
 ): PeerRecord[] {
-  const present = chooseCoordinator(membership) ?? membership.getSelf();
+  const current = chooseCoordinator(membership) ?? membership.getSelf();
   return membership
-    .listUnconfirmedPeers(banMs)
-    .filter(peer => getCores(peer) >= STRONG_SHARE * getCores(present))
-    .filter(peer => findFirst([peer, present]) === peer.id)
-    .sort((left, right) => (findFirst([left, right]) === left.id ? -1 : 1));
+    .listUnconfirmedPeers(cooldownMs)
+    .filter(peer => getCores(peer) >= MIN_CORES_RATIO * getCores(current))
+    .filter(peer => findPreferredId([peer, current]) === peer.id)
+    .sort((left, right) =>
+      findPreferredId([left, right]) === left.id ? -1 : 1,
+    );
 }
 
-function findFirst(instances: readonly PeerRecord[]): string {
-  return listByRendezvous(COORDINATOR_KEY, listStrongest(instances))[0];
+function findPreferredId(instances: readonly PeerRecord[]): string {
+  return listByRendezvous(COORDINATOR_KEY, listIdsWithMostCores(instances))[0];
 }
 
-// Deciding for all costs more the larger the fleet is, and the smallest
-// instances of a fleet may have a fraction of the largest ones' processor.
-function listStrongest(instances: readonly PeerRecord[]): string[] {
-  const most = Math.max(...instances.map(getCores));
+// Coordination costs more the larger the fleet is, and the smallest instances of a
+// fleet may have only a fraction of the cores of the largest.
+function listIdsWithMostCores(instances: readonly PeerRecord[]): string[] {
+  const maxCores = Math.max(...instances.map(getCores));
   return instances
-    .filter(instance => getCores(instance) >= STRONG_SHARE * most)
+    .filter(instance => getCores(instance) >= MIN_CORES_RATIO * maxCores)
     .map(({id}) => id);
 }
 
--- a/packages/peers/src/frames.ts
+++ b/packages/peers/src/frames.ts
@@ -1,9 +1,9 @@
 /** Largest frame that an authenticated peer may send, in bytes. */
 export const MAX_FRAME_BYTES = 8 * 1024 * 1024;
-/** Bytes of the length in front of each frame. */
+/** Bytes of the length prefix of each frame. */
 const LENGTH_BYTES = 4;
 
-/** A frame that cannot be taken. */
+/** A received frame is malformed, too large, unexpected or not authentic. */
 export class FrameError extends Error {
   constructor(message: string) {
     super(message);
@@ -12,7 +12,7 @@
 }
 
 /**
- * Encodes a frame: its length in four bytes, the highest first, then the
+ * Encodes a frame: the length of the payload in four bytes, big-endian, then the
  * payload.
  */
 export function encodeFrame(payload: Uint8Array): Buffer {
@@ -22,13 +22,13 @@
   return frame;
 }
 
-/** Cuts a byte stream into frames. */
+/** Splits a byte stream into frames. */
 export class FrameDecoder {
   private chunks: Buffer[] = [];
-  private length = 0;
+  private bufferedBytes = 0;
   private maxBytes: number;
 
-  /** @param maxBytes Largest payload that is taken. */
+  /** @param maxBytes Largest payload that is accepted. */
   constructor(maxBytes: number) {
     this.maxBytes = maxBytes;
   }
@@ -38,17 +38,17 @@
   }
 
   /**
-   * Takes bytes in and returns the payloads that are whole.
+   * Adds received bytes and returns the payloads of the frames that are now complete.
    *
-   * @throws FrameError for a frame over the limit.
+   * @throws FrameError if a frame is over the limit, even before its payload arrives.
    */
   addBytes(bytes: Uint8Array): Buffer[] {
     this.chunks.push(Buffer.from(bytes));
-    this.length += bytes.length;
+    this.bufferedBytes += bytes.length;
     const payloads: Buffer[] = [];
-    while (this.length >= LENGTH_BYTES) {
+    while (this.bufferedBytes >= LENGTH_BYTES) {
       const size = this.getNextSize();
-      if (this.length < LENGTH_BYTES + size) break;
+      if (this.bufferedBytes < LENGTH_BYTES + size) break;
       const frame = this.takeBytes(LENGTH_BYTES + size);
       payloads.push(frame.subarray(LENGTH_BYTES));
     }
@@ -68,7 +68,7 @@
     if (this.chunks[0].length < count) this.joinChunks();
     const taken = this.chunks[0].subarray(0, count);
     this.chunks[0] = this.chunks[0].subarray(count);
-    this.length -= count;
+    this.bufferedBytes -= count;
     if (this.chunks[0].length === 0) this.chunks.shift();
     return taken;
   }
--- a/packages/peers/src/peer-link.ts
+++ b/packages/peers/src/peer-link.ts
@@ -9,7 +9,7 @@
 import {PeerStream} from './peer-stream.ts';
 import {Session} from './session.ts';
 
-/** What the link works with. */
+/** Dependencies of PeerLink. */
 export interface PeerLinkParts {
   readonly identity: PeerIdentity;
   readonly network: PeerNetwork;
@@ -19,33 +19,36 @@
   readonly metrics: MetricsRegistry;
 }
 
-// Streams that were opened to ask a rare question are closed again, so that a
-// large fleet does not end as a full mesh.
-const MAX_OPEN_PEERS = 32;
-/** Milliseconds for both sides of a stream to prove that they hold the key. */
+// The least recently used streams beyond this number are closed, so that rare requests
+// do not turn a large fleet into a full mesh.
+const MAX_OPEN_STREAMS = 32;
+/** Milliseconds for the two sides of a stream to authenticate each other. */
 const HANDSHAKE_TIMEOUT_MS = 2000;
 
 /**
- * Milliseconds within which the streams to two peers must fall silent for the
- * network to be suspected rather than a peer.
+ * Milliseconds within which the streams to two peers must become unresponsive for a
+ * fault of the network, and not of a peer, to be suspected.
  */
-const SUSPICION_MS = 2000;
+const NETWORK_FAULT_WINDOW_MS = 2000;
 
-/** Answers a peer's request. */
+/**
+ * Answers a peer's request. `peer` is the peer's id, or its address on a stream that this
+ * instance opened.
+ */
 export type PeerRequestHandler = (
   request: PeerRequest,
   peer: string,
 ) => Promise<PeerReply>;
 
-/** Asks peers and answers them over authenticated streams. */
+/** Sends requests to peers and answers theirs over authenticated streams. */
 export class PeerLink {
   private readonly parts: PeerLinkParts;
-  private readonly opened = new Map<string, Promise<PeerStream>>();
+  private readonly streams = new Map<string, Promise<PeerStream>>();
   private readonly sessions = new Set<Session>();
   private handleRequest: PeerRequestHandler;
   private nextRequestId = 1;
-  /** The peer whose stream fell silent last, and when. */
-  private lastSilent = {address: '', atMs: -Infinity};
+  /** The peer whose stream was the last to become unresponsive, and when. */
+  private lastUnresponsive = {address: '', atMs: -Infinity};
 
   constructor(parts: PeerLinkParts) {
     this.parts = parts;
@@ -55,12 +58,12 @@
     });
   }
 
-  /** Sets what answers peers' requests. */
+  /** Sets the handler of peers' requests; before that, each is answered as failed. */
   setRequestHandler(handleRequest: PeerRequestHandler): void {
     this.handleRequest = handleRequest;
   }
 
-  /** Starts taking peers; resolves to the address in use. */
+  /** Starts accepting streams; resolves to the bound address. */
   listen(address: string): Promise<string> {
     return this.parts.network.listen(address, socket =>
       this.acceptPeer(socket),
@@ -68,10 +71,11 @@
   }
 
   /**
-   * Asks a peer.
+   * Sends a request to a peer and resolves to its reply.
    *
-   * @param timeoutMs Milliseconds to wait for its answer, the connection included.
-   * @throws HollowstackError `peer-refused` where it cannot be asked or does not answer.
+   * @param timeoutMs Milliseconds to wait for the reply, including the connection.
+   * @throws HollowstackError `peer-refused` if the peer cannot be reached or does not
+   *   reply in time.
    */
   sendRequest(
     address: string,
@@ -81,10 +85,10 @@
     const {clock, metrics} = this.parts;
     const id = this.nextRequestId++;
     return new Promise((resolve, reject) => {
-      let isOver = false;
+      let hasTimedOut = false;
       let stream: PeerStream | undefined;
       const sentAtMs = clock.getNow();
-      // Many callers go on without an answer; the counter is where it shows.
+      // Many callers continue without a reply, so only the counter shows the failure.
       const fail = (error: Error) => {
         metrics.addToCounter('hollowstack_peer_failures_total', {
           type: request.type,
@@ -92,15 +96,15 @@
         reject(error);
       };
       const timer = clock.schedule(timeoutMs, () => {
-        isOver = true;
+        hasTimedOut = true;
         if (stream?.recordTimeout(id, sentAtMs)) {
-          this.closeSilent(address, stream);
+          this.closeUnresponsive(address, stream);
         }
         fail(createLinkError(`no answer from ${address}`));
       });
       this.openPeer(address).then(
         opened => {
-          if (isOver) return;
+          if (hasTimedOut) return;
           stream = opened;
           metrics.addToCounter('hollowstack_peer_requests_total', {
             type: request.type,
@@ -113,59 +117,60 @@
         },
         error => {
           timer.cancel();
-          if (!isOver) fail(error);
+          if (!hasTimedOut) fail(error);
         },
       );
     });
   }
 
-  /** Closes the stream to a peer that does not answer; what waits there fails. */
+  /** Closes the stream to a peer that does not answer; its pending requests fail. */
   closePeer(address: string): void {
-    const opening = this.opened.get(address);
-    this.opened.delete(address);
+    const opening = this.streams.get(address);
+    this.streams.delete(address);
     if (opening) closeOnceOpen(opening);
   }
 
-  /** Closes every stream and takes no more. */
+  /** Closes all streams and stops accepting new ones. */
   close(): void {
     this.parts.network.close();
     for (const session of this.sessions) session.close();
   }
 
-  // A silent stream would cost each request that follows its whole time. Where a
-  // second one follows, whatever silenced them has most likely met the idle ones.
-  private closeSilent(address: string, {session}: PeerStream): void {
+  // On an unresponsive stream, each further request would use up its whole time-out. If a
+  // second stream becomes unresponsive, the same fault has most likely hit the idle ones.
+  private closeUnresponsive(address: string, {session}: PeerStream): void {
     const {clock, logger} = this.parts;
     logger.logEvent('peer.stream-silent', {address});
     session.close();
     const nowMs = clock.getNow();
-    const {lastSilent} = this;
-    this.lastSilent = {address, atMs: nowMs};
+    const {lastUnresponsive} = this;
+    this.lastUnresponsive = {address, atMs: nowMs};
     const isSecond =
-      lastSilent.address !== address && nowMs - lastSilent.atMs < SUSPICION_MS;
+      lastUnresponsive.address !== address &&
+      nowMs - lastUnresponsive.atMs < NETWORK_FAULT_WINDOW_MS;
     if (isSecond) this.closeIdle();
   }
 
   private closeIdle(): void {
-    for (const opening of this.opened.values()) {
+    for (const opening of this.streams.values()) {
       closeOnceOpen(opening, stream => stream.isIdle());
     }
   }
 
   private openPeer(address: string): Promise<PeerStream> {
-    const known = this.opened.get(address);
-    if (known) {
-      // Taken out and put in again, so that the one unused longest comes first.
-      this.opened.delete(address);
-      this.opened.set(address, known);
-      return known;
+    const existing = this.streams.get(address);
+    if (existing) {
+      // Inserted again, so that the least recently used stream comes first.
+      this.streams.delete(address);
+      this.streams.set(address, existing);
+      return existing;
     }
     const opening: Promise<PeerStream> = this.connectPeer(address, () =>
       this.removePeer(address, opening),
     );
-    this.opened.set(address, opening);
+    this.streams.set(address, opening);
     opening.catch(() => this.removePeer(address, opening));
-    this.closeOldest();
+    this.closeLeastRecentlyUsed();
     return opening;
   }
 
@@ -268,13 +273,13 @@
   }
 
   private removePeer(address: string, opening: Promise<PeerStream>): void {
-    if (this.opened.get(address) === opening) this.opened.delete(address);
+    if (this.streams.get(address) === opening) this.streams.delete(address);
   }
 
-  private closeOldest(): void {
-    if (this.opened.size <= MAX_OPEN_PEERS) return;
-    const [address, opening] = this.opened.entries().next().value!;
-    this.opened.delete(address);
+  private closeLeastRecentlyUsed(): void {
+    if (this.streams.size <= MAX_OPEN_STREAMS) return;
+    const [address, opening] = this.streams.entries().next().value!;
+    this.streams.delete(address);
     closeOnceOpen(opening);
   }
 }
@@ -287,7 +292,7 @@
     stream => {
       if (mayClose(stream)) stream.session.close();
     },
-    // One that cannot be opened has nothing to close, and leaves the list itself.
+    // A stream that failed to open needs no closing and is removed by openPeer.
     () => {},
   );
 }
--- a/packages/peers/src/share-allocator.ts
+++ b/packages/peers/src/share-allocator.ts
@@ -4,23 +4,23 @@
 interface ReportedDemand {
   readonly requestsPerSecond: number;
   readonly inFlight: number;
-  /** What the instance was granted then. */
+  /** The share granted in reply to this report. */
   granted: GrantedShare;
   readonly atMs: number;
 }
 
-/** What an instance asks for. */
+/** The demand that an instance reports for a workspace. */
 export interface ShareDemand {
   readonly requestsPerSecond: number;
   readonly inFlight: number;
 }
 
-/** Milliseconds for which a reported demand counts. */
-const DEMAND_MS = 3000;
+/** Milliseconds for which a reported demand is valid. */
+const DEMAND_VALID_MS = 3000;
 
 /**
- * Part of a limit that is kept for instances that have not reported yet, of what
- * nobody asks for: what a fresh instance asks for first.
+ * Fraction of a limit that is reserved, out of its unclaimed part, for instances that
+ * have not reported yet. A new instance asks for this fraction first.
  */
 export const RESERVED_FRACTION = 1 / 3;
 
@@ -31,9 +31,9 @@
 }
 
 /**
- * Shares out the limits of the workspaces that fall to this instance. Its
- * state is what was reported in the last seconds: another instance that takes
- * a workspace over has it again after one round.
+ * Divides the limits of the workspaces assigned to this instance among the instances.
+ * Its state consists of the reports of the last seconds, so that another instance that
+ * takes over a workspace has rebuilt it after one round.
  */
 export class ShareAllocator {
   private readonly clock: Clock;
@@ -44,12 +44,12 @@
   }
 
   /**
-   * Takes an instance's demand and returns its share. What others were granted
-   * holds until their next round, so that a share beyond the even part comes
-   * only from what is not granted: instances that begin one after the other
-   * would else have up to three times the limit together in that second.
+   * Records an instance's demand and returns its share. The shares granted to others are
+   * valid until their next round, so a share above the even share comes only from what is
+   * not granted. Otherwise, instances that start one after the other would together have
+   * up to three times the limit in that second.
    *
-   * @param liveCount Instances that may come for a share.
+   * @param liveCount Number of instances that may ask for a share.
    */
   grantShare(
     workspace: string,
@@ -62,7 +62,7 @@
     const reports = this.reports.get(workspace) ?? new Map();
     this.reports.set(workspace, reports);
     this.removeOldReports(reports, nowMs);
-    const report = {...demand, granted: NOTHING, atMs: nowMs};
+    const report = {...demand, granted: NO_SHARE, atMs: nowMs};
     reports.set(instance, report);
     report.granted = {
       requestsPerSecond: computeGrant(
@@ -90,12 +90,12 @@
     nowMs: number,
   ): void {
     for (const [id, {atMs}] of reports) {
-      if (nowMs - atMs > DEMAND_MS) reports.delete(id);
+      if (nowMs - atMs > DEMAND_VALID_MS) reports.delete(id);
     }
   }
 }
 
-const NOTHING: GrantedShare = {requestsPerSecond: 0, concurrentRequests: 0};
+const NO_SHARE: GrantedShare = {requestsPerSecond: 0, concurrentRequests: 0};
 
 function computeGrant(
   limit: number,
@@ -114,12 +114,12 @@
   const isComplete = reports.size >= liveCount;
   const reserve = isComplete ? 0 : limit * RESERVED_FRACTION;
   const share = computeShare(limit, demands, instance, reserve);
-  const evenPart = limit / Math.max(liveCount, reports.size);
-  return Math.min(share, Math.max(evenPart, limit - granted));
+  const evenShare = limit / Math.max(liveCount, reports.size);
+  return Math.min(share, Math.max(evenShare, limit - granted));
 }
 
-// What nobody asks for is spread over those that have reported, less what is
-// kept for instances that may come.
+// The unclaimed part is divided among the instances that have reported, less the
+// reserve for those that have not.
 function computeShare(
   limit: number,
   demands: readonly LimitDemand[],
@@ -127,8 +127,8 @@
   reserve: number,
 ): number {
   const spare = limit - demands.reduce((sum, {amount}) => sum + amount, 0);
-  const kept = Math.max(0, Math.min(spare, reserve)) / demands.length;
-  return findShare(limit, demands, instance) - kept;
+  const reserved = Math.max(0, Math.min(spare, reserve)) / demands.length;
+  return findShare(limit, demands, instance) - reserved;
 }
 
 function findShare(
--- a/packages/store-relay/src/range-mirror.test.ts
+++ b/packages/store-relay/src/range-mirror.test.ts
@@ -12,7 +12,7 @@
   return new RangeMirror(createPrefixRange('a/'));
 }
 
-function createReading(
+function createResult(
   storeRevision: number,
   revisions: Readonly<Record<string, number>>,
 ): RangeResult {
@@ -42,19 +42,19 @@
     .sort();
 }
 
-test('changes that come before the first reading are kept where they are newer', () => {
+test('changes that arrive before the first full read are applied after it if they are newer', () => {
   const mirror = createMirror();
   assert.equal(mirror.createRangeResult(), undefined);
   assert.equal(mirror.listChanges(0), undefined);
   mirror.applyEvents([createPut('a/1', 4), createPut('a/2', 7)]);
-  mirror.applyRangeResult(createReading(5, {'a/1': 4}));
+  mirror.applyRangeResult(createResult(5, {'a/1': 4}));
   assert.deepEqual(listKeys(mirror), ['a/1@4', 'a/2@7']);
   assert.deepEqual(mirror.listChanges(5), [createPut('a/2', 7)]);
 });
 
-test('changes are told from any revision that is known, once each', () => {
+test('changes are listed from any revision after the first full read, each once', () => {
   const mirror = createMirror();
-  mirror.applyRangeResult(createReading(5, {'a/1': 4}));
+  mirror.applyRangeResult(createResult(5, {'a/1': 4}));
   const events = [createPut('a/2', 7), createDelete('a/1', 9)];
   assert.deepEqual(mirror.applyEvents(events), events);
   assert.deepEqual(mirror.applyEvents(events), []);
@@ -65,30 +65,32 @@
   assert.deepEqual(listKeys(mirror), ['a/2@7']);
 });
 
-test('changes of one transaction share a revision and are all taken', () => {
+test('all changes of one transaction are applied although they share a revision', () => {
   const mirror = createMirror();
-  mirror.applyRangeResult(createReading(5, {}));
+  mirror.applyRangeResult(createResult(5, {}));
   mirror.applyEvents([createPut('a/1', 6), createPut('a/2', 6)]);
   assert.deepEqual(listKeys(mirror), ['a/1@6', 'a/2@6']);
 });
 
-test('a newer reading brings what differs, an older one nothing', () => {
+test('a newer full read is applied as its differences, an older one is ignored', () => {
   const mirror = createMirror();
-  mirror.applyRangeResult(createReading(5, {'a/1': 3, 'a/2': 4}));
-  assert.deepEqual(mirror.applyRangeResult(createReading(5, {})), []);
-  const news = mirror.applyRangeResult(createReading(9, {'a/2': 8, 'a/3': 7}));
-  assert.deepEqual(news, [
+  mirror.applyRangeResult(createResult(5, {'a/1': 3, 'a/2': 4}));
+  assert.deepEqual(mirror.applyRangeResult(createResult(5, {})), []);
+  const newEvents = mirror.applyRangeResult(
+    createResult(9, {'a/2': 8, 'a/3': 7}),
+  );
+  assert.deepEqual(newEvents, [
     createPut('a/3', 7),
     createPut('a/2', 8),
     createDelete('a/1', 9),
   ]);
-  assert.deepEqual(mirror.listChanges(5), news);
+  assert.deepEqual(mirror.listChanges(5), newEvents);
   assert.deepEqual(listKeys(mirror), ['a/2@8', 'a/3@7']);
 });
 
-test('what is no longer kept is not told', () => {
+test('changes are not listed from a revision whose history is no longer retained', () => {
   const mirror = createMirror();
-  mirror.applyRangeResult(createReading(1, {}));
+  mirror.applyRangeResult(createResult(1, {}));
   const events = Array.from({length: 1500}, (_, index) =>
     createPut('a/1', index + 2),
   );
--- a/packages/store-relay/src/relayed-store.ts
+++ b/packages/store-relay/src/relayed-store.ts
@@ -19,56 +19,56 @@
 
 /** Dependencies of RelayedStore. */
 export interface RelayedStoreParts {
-  /** The store itself. */
+  /** The underlying store. */
   readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly link: Pick<PeerLink, 'sendRequest'>;
-  /** Range in which the instances are registered. */
+  /** Range of keys under which instances register. */
   readonly memberRange: KeyRange;
-  /** Called from the first watch on. */
+  /** Returns the member list; called no earlier than the first watch. */
   readonly getMembers: () => RelayMembers;
-  /** Milliseconds in which a change must be in force here. */
+  /** Milliseconds within which a change must be in force on this instance. */
   readonly followWithinMs: number;
 }
 
 /**
- * Whether this instance can tell peers of changes: it watches the store, it
- * would but the store is away, or it takes them from peers itself.
+ * Whether this instance can pass changes on to peers: it watches the store, it is meant to
+ * watch but the store is away, or it receives the changes from peers itself.
  */
 export type RelayState = 'watching' | 'away' | 'following';
 
-/** A reading under way of a range that is followed. */
-interface PendingReading {
-  /** Watch in whose time it was sent. */
+/** A full read in progress of a range that is followed. */
+interface PendingRead {
+  /** Generation of the watch during which the read was sent. */
   readonly generation: number;
-  readonly reading: Promise<RangeResult>;
+  readonly result: Promise<RangeResult>;
 }
 
-/** Where the changes come from, for the log. */
+/** Source of the changes, for the log. */
 type FeedSource = 'store' | 'peers';
 
 /**
- * Milliseconds after a start before a role is taken: processes of a fleet start
- * within 300 ms of each other, and whoever took the first list at its word
- * would watch the store for a fleet that is a fraction of its size.
+ * Milliseconds after a start before the instance takes its role. The processes of a fleet
+ * start within 300 ms of each other; an instance that relied on its first member list
+ * would watch the store as if the fleet were a fraction of its size.
  */
-const SETTLE_MS = 600;
-/** Milliseconds of watching the store where no peer passes changes on. */
-const FALLBACK_MS = 3000;
+const START_SETTLE_MS = 600;
+/** Milliseconds for which an instance watches the store if no peer passes changes on. */
+const STORE_FALLBACK_MS = 3000;
 /** Milliseconds before peers that cannot reach the store are asked again. */
-const AWAY_PAUSE_MS = 250;
+const AWAY_RETRY_MS = 250;
 /**
- * Milliseconds after an outage in which a second source that tells of it says
- * nothing new; sources are back within the 1 s of their own pauses.
+ * Milliseconds after a reported outage in which another source's report counts as the same
+ * outage; sources reconnect within the 1 s of their own back-off.
  */
-const OUTAGE_MEMORY_MS = 5000;
+const OUTAGE_REPORT_WINDOW_MS = 5000;
 
 /**
- * The store, with its changes taken from peers that watch it. A few instances of
- * each failure domain watch; the others hold a question open at one of two of
- * them in turn, go to the next where one is silent or behind, and to the store
- * where none answers.
+ * A store whose changes come from peers that watch it. A few instances of each failure
+ * domain watch the store. The others long-poll two of these alternately, switch to the
+ * next one if a peer is unresponsive or behind, and watch the store themselves if no peer
+ * answers.
  */
 export class RelayedStore extends KeyValueStore {
   private readonly parts: RelayedStoreParts;
@@ -79,17 +79,17 @@
   private state: RelayState = 'following';
   private feed: FeedSource | undefined;
   private isFirstStart = true;
-  /** Revision from which the store's changes are still to be told. */
+  /** Store revision from which a watch of ranges that were not read yet begins. */
   private startRevision = 0;
-  /** Counts the beginnings of watches, by which late readings are told apart. */
+  /** Incremented when a watch begins; identifies reads sent before the current one. */
   private generation = 0;
-  /** Readings under way, by the range's first key. */
-  private readonly pending = new Map<string, PendingReading>();
-  /** Until when every change of a range is known, by its first key. */
+  /** Full reads in progress, by the range's first key. */
+  private readonly pendingReads = new Map<string, PendingRead>();
+  /** Time up to which every change of a range is known, by its first key. */
   private readonly knownUntilMs = new Map<string, number>();
   private handleProgress: ((progress: WatchProgress) => void) | undefined;
-  /** Failures of the store's watch, or to begin it, since it last stood. */
-  private breaks = 0;
+  /** Failures to begin or continue a watch of the store since the last one began. */
+  private watchFailures = 0;
   private beganAfterOutage = false;
   /** Whether the store was restored between the previous watch and the current one. */
   private isRestored = false;
@@ -108,7 +108,7 @@
     });
   }
 
-  /** Returns whether peers can be told of changes. */
+  /** Returns the state; `away` also while a watched range has not been read yet. */
   getState(): RelayState {
     if (this.state !== 'watching') return this.state;
     return this.mirrors.isComplete() ? 'watching' : 'away';
@@ -122,14 +122,14 @@
     return this.parts.store.getHistoryId();
   }
 
-  /** Returns whether the watch that peers are told from began after an outage. */
+  /** Returns whether the watch that feeds peers began after an outage of the store. */
   hasBegunAfterOutage(): boolean {
     return this.beganAfterOutage;
   }
 
   /**
-   * Returns the changes of a range, by its first key, behind a revision; undefined
-   * where some of them are not known.
+   * Returns the changes of a range, by its first key, after a revision; undefined if some
+   * of them are not known.
    */
   listChanges(
     start: string,
@@ -138,20 +138,23 @@
     return this.mirrors.findMirror(start)?.listChanges(sinceRevision);
   }
 
-  /** Returns how many instances watch the store, as far as this one knows. */
+  /** Returns the number of instances that watch the store, as far as this one knows. */
   countWatchers(): number {
     return this.role.listWatchers().length;
   }
 
-  /** Returns the content of a range, by its first key, where it is known. */
+  /** Returns the content of a range, by its first key; undefined if it is not known. */
   createRangeResult(start: string): RangeResult | undefined {
     return this.mirrors.findMirror(start)?.createRangeResult();
   }
 
-  /** Returns until when every change of a range is known, by its first key. */
+  /**
+   * Returns the time up to which every change of a range is known, by its first key;
+   * undefined before the range has been read.
+   */
   getKnownUntilMs(start: string): number | undefined {
-    const isWhole = this.mirrors.findMirror(start)?.isComplete() === true;
-    return isWhole ? this.knownUntilMs.get(start) : undefined;
+    const isComplete = this.mirrors.findMirror(start)?.isComplete() === true;
+    return isComplete ? this.knownUntilMs.get(start) : undefined;
   }
 
   override refreshWatch(): void {
@@ -159,19 +162,20 @@
     this.client.refresh();
   }
 
-  /** Adds a function that is called at each change until the returned one is called. */
+  /** Adds a function that is called at each change; the returned function removes it. */
   addChangeListener(listener: () => void): () => void {
     this.changeListeners.add(listener);
     return () => this.changeListeners.delete(listener);
   }
 
-  /** Reads a range; one that is followed is at hand. */
+  /** Reads a range; one that is followed is served from memory once it is known. */
   async readRange(range: KeyRange, minModRevision = 0): Promise<RangeResult> {
     if (!this.mirrors.findMirror(range.start)) {
       return this.parts.store.readRange(range, minModRevision);
     }
     const known =
-      this.createRangeResult(range.start) ?? (await this.readFollowed(range));
+      this.createRangeResult(range.start) ??
+      (await this.readFollowedRange(range));
     const keyValues = known.keyValues.filter(
       ({modRevision}) => modRevision >= minModRevision,
     );
@@ -205,27 +209,28 @@
     this.generation += 1;
     this.handleProgress = handleProgress;
     try {
-      const fromPeers = await this.begin();
+      const fromPeers = await this.beginWatch();
       yield [];
       for (const each of fromPeers ?? []) this.recordProgress(each);
-      if (!fromPeers && this.isFirstStart) yield* this.waitForOthers(signal);
+      if (!fromPeers && this.isFirstStart)
+        yield* this.waitForRegistrations(signal);
       this.isFirstStart = false;
       while (!signal.aborted) {
         if (this.role.isWatcher()) yield* this.watchStore(signal);
         else yield* this.followPeers(signal);
       }
     } catch (error) {
-      this.recordBreak();
+      this.recordWatchFailure();
       throw error;
     }
   }
 
-  // Has the ranges from a peer, or finds out that the store answers.
-  private async begin(): Promise<readonly WatchProgress[] | undefined> {
+  // Reads the ranges from a peer, or makes sure that the store answers.
+  private async beginWatch(): Promise<readonly WatchProgress[] | undefined> {
     const {store, memberRange, getMembers} = this.parts;
     this.isRestored = false;
-    const early = await this.readFromPeers();
-    if (early) return early;
+    const earlyProgress = await this.readFromPeers();
+    if (earlyProgress) return earlyProgress;
     const list = await store.readRange(memberRange);
     this.mirrors.applyRangeResult(memberRange.start, list);
     await getMembers().refresh();
@@ -234,12 +239,12 @@
     this.isRestored =
       this.storeId !== undefined && this.storeId !== list.storeId;
     this.storeId = list.storeId;
-    const late = await this.readFromPeers();
-    if (late) return late;
+    const lateProgress = await this.readFromPeers();
+    if (lateProgress) return lateProgress;
     this.setFeed('store');
     this.state = 'watching';
-    this.beganAfterOutage = this.breaks > 1 || this.isRestored;
-    this.breaks = 0;
+    this.beganAfterOutage = this.watchFailures > 1 || this.isRestored;
+    this.watchFailures = 0;
     return undefined;
   }
 
@@ -249,19 +254,19 @@
 
   private recordProgress(progress: WatchProgress): void {
     const {start, knownUntilMs} = progress;
-    const before = this.knownUntilMs.get(start) ?? -Infinity;
-    this.knownUntilMs.set(start, Math.max(before, knownUntilMs));
+    const previousMs = this.knownUntilMs.get(start) ?? -Infinity;
+    this.knownUntilMs.set(start, Math.max(previousMs, knownUntilMs));
     this.handleProgress?.(progress);
   }
 
-  private async *waitForOthers(
+  private async *waitForRegistrations(
     signal: AbortSignal,
   ): AsyncIterable<readonly WatchEvent[]> {
     const {clock, store, memberRange} = this.parts;
-    await waitFor(clock, SETTLE_MS, signal);
+    await waitFor(clock, START_SETTLE_MS, signal);
     const list = await store.readRange(memberRange);
-    const news = this.mirrors.applyRangeResult(memberRange.start, list);
-    if (news.length > 0) yield news;
+    const newEvents = this.mirrors.applyRangeResult(memberRange.start, list);
+    if (newEvents.length > 0) yield newEvents;
   }
 
   private async *watchStore(
@@ -269,27 +274,27 @@
     untilMs?: number,
   ): AsyncIterable<readonly WatchEvent[]> {
     const {store} = this.parts;
-    const ending = new AbortController();
-    const either = AbortSignal.any([signal, ending.signal]);
-    const endCheck = this.role.watchForRoleEnd(untilMs, () => ending.abort());
+    const roleEnd = new AbortController();
+    const combinedSignal = AbortSignal.any([signal, roleEnd.signal]);
+    const stopCheck = this.role.watchForRoleEnd(untilMs, () => roleEnd.abort());
     this.setFeed('store');
     this.state = 'watching';
     try {
       const since = this.mirrors.getOldestRevision(this.startRevision);
       const ranges = this.mirrors.listRanges();
-      const watch = store.watchRanges(ranges, since, either, progress =>
+      const watch = store.watchRanges(ranges, since, combinedSignal, progress =>
         this.recordProgress(progress),
       );
       for await (const events of watch) {
-        const news = this.mirrors.applyEvents(events);
-        if (news.length === 0) continue;
+        const newEvents = this.mirrors.applyEvents(events);
+        if (newEvents.length === 0) continue;
         this.callChangeListeners();
-        yield news;
+        yield newEvents;
       }
     } catch (error) {
-      if (!ending.signal.aborted || signal.aborted) throw error;
+      if (!roleEnd.signal.aborted || signal.aborted) throw error;
     } finally {
-      endCheck();
+      stopCheck();
     }
   }
 
@@ -297,45 +302,45 @@
     signal: AbortSignal,
   ): AsyncIterable<readonly WatchEvent[]> {
     const {clock, followWithinMs} = this.parts;
-    let heardAtMs = clock.getNow();
+    let lastContactAtMs = clock.getNow();
     this.setFeed('peers');
     this.state = 'following';
     while (!signal.aborted && !this.role.isWatcher()) {
       const source = this.client.chooseSource();
       if (source) {
-        const news = await this.client.askForChanges(source);
-        if (!news) continue;
-        heardAtMs = clock.getNow();
-        if (news.isAfterOutage) yield* this.createOutageEnd();
-        if (news.events.length > 0) yield news.events;
-        for (const each of news.progress) this.recordProgress(each);
+        const update = await this.client.askForChanges(source);
+        if (!update) continue;
+        lastContactAtMs = clock.getNow();
+        if (update.isAfterOutage) yield* this.publishOutageEnd();
+        if (update.events.length > 0) yield update.events;
+        for (const each of update.progress) this.recordProgress(each);
         continue;
       }
       const isAway = this.client.restoreAwaySources();
-      if (isAway && clock.getNow() - heardAtMs < followWithinMs) {
-        await waitFor(clock, AWAY_PAUSE_MS, signal);
+      if (isAway && clock.getNow() - lastContactAtMs < followWithinMs) {
+        await waitFor(clock, AWAY_RETRY_MS, signal);
         continue;
       }
-      heardAtMs = clock.getNow();
-      // Where the watchers cannot reach the store, it is most likely away.
-      if (isAway && !(await this.isStoreThere())) continue;
-      yield* this.watchStore(signal, clock.getNow() + FALLBACK_MS);
+      lastContactAtMs = clock.getNow();
+      // If the watchers cannot reach the store, it is most likely away.
+      if (isAway && !(await this.isStoreReachable())) continue;
+      yield* this.watchStore(signal, clock.getNow() + STORE_FALLBACK_MS);
       return;
     }
   }
 
-  // Readers take an empty list for a watch that stands anew, and ask whether
-  // that was after an outage.
-  private *createOutageEnd(): Iterable<readonly WatchEvent[]> {
+  // Readers interpret an empty list as the start of a new watch, and then ask whether it
+  // began after an outage.
+  private *publishOutageEnd(): Iterable<readonly WatchEvent[]> {
     const nowMs = this.parts.clock.getNow();
-    if (nowMs - this.outageEndedAtMs < OUTAGE_MEMORY_MS) return;
+    if (nowMs - this.outageEndedAtMs < OUTAGE_REPORT_WINDOW_MS) return;
     this.outageEndedAtMs = nowMs;
     this.hasOutageEnded = true;
     yield [];
     this.hasOutageEnded = false;
   }
 
-  private async isStoreThere(): Promise<boolean> {
+  private async isStoreReachable(): Promise<boolean> {
     const {store, memberRange} = this.parts;
     return store.readRange(memberRange).then(
       () => true,
@@ -343,46 +348,46 @@
     );
   }
 
-  // Readers of one range share a reading.
-  private readFollowed(range: KeyRange): Promise<RangeResult> {
-    const {generation, pending} = this;
-    const shared = pending.get(range.start);
-    if (shared?.generation === generation) return shared.reading;
-    const reading = this.readForWatch(range, generation).finally(() => {
-      if (pending.get(range.start)?.reading === reading) {
-        pending.delete(range.start);
+  // Concurrent readers of a range share one read.
+  private readFollowedRange(range: KeyRange): Promise<RangeResult> {
+    const {generation, pendingReads} = this;
+    const shared = pendingReads.get(range.start);
+    if (shared?.generation === generation) return shared.result;
+    const result = this.readForWatch(range, generation).finally(() => {
+      if (pendingReads.get(range.start)?.result === result) {
+        pendingReads.delete(range.start);
       }
     });
-    pending.set(range.start, {generation, reading});
-    return reading;
+    pendingReads.set(range.start, {generation, result});
+    return result;
   }
 
-  // A reading that was sent before the current watch began may lack changes from before
-  // the watch's start, which the watch does not tell either.
+  // A read that was sent before the current watch began may lack changes from before the
+  // start of the watch, which the watch does not deliver either.
   private async readForWatch(
     range: KeyRange,
     generation: number,
   ): Promise<RangeResult> {
     const {clock, store} = this.parts;
     const sentAtMs = clock.getNow();
-    const reading = await store.readRange(range);
-    this.logReading(range, reading, sentAtMs);
+    const result = await store.readRange(range);
+    this.logRead(range, result, sentAtMs);
     if (generation !== this.generation) return this.readRange(range);
-    this.applyFirstReading(range.start, reading);
+    this.applyFirstResult(range.start, result);
     this.recordProgress({start: range.start, knownUntilMs: sentAtMs});
-    return this.createRangeResult(range.start) ?? reading;
+    return this.createRangeResult(range.start) ?? result;
   }
 
-  private applyFirstReading(start: string, reading: RangeResult): void {
-    // A store may tell no revision with a key that is not there.
-    const storeRevision = reading.storeRevision || this.startRevision;
+  private applyFirstResult(start: string, result: RangeResult): void {
+    // A store may return no revision for a key that does not exist.
+    const storeRevision = result.storeRevision || this.startRevision;
     if (storeRevision < this.startRevision) {
       throw new StoreError('the reading is older than the watch', 'none');
     }
-    this.mirrors.applyRangeResult(start, {...reading, storeRevision});
+    this.mirrors.applyRangeResult(start, {...result, storeRevision});
   }
 
-  private logReading(
+  private logRead(
     range: KeyRange,
     {storeRevision, keyValues}: RangeResult,
     sentAtMs: number,
@@ -397,8 +402,8 @@
     });
   }
 
-  private recordBreak(): void {
-    this.breaks += 1;
+  private recordWatchFailure(): void {
+    this.watchFailures += 1;
     this.state = 'away';
     this.callChangeListeners();
   }
