--- a/packages/entry/src/create-daemon.ts
+++ b/packages/entry/src/create-daemon.ts
@@ -36,7 +36,7 @@
 import {Lifecycle} from './lifecycle.ts';
 import {OperatorEndpoint} from './operator-endpoint.ts';
 import {PauseGuard} from './pause-guard.ts';
-import {PeerRequests} from './peer-requests.ts';
+import {PeerRequestHandler} from './peer-requests.ts';
 import {listManagedPools} from './managed-pools.ts';
 import {PipelineEndpoint} from './pipeline-endpoint.ts';
 import {ProbeEndpoint} from './probe-endpoint.ts';
@@ -51,7 +51,7 @@
  * Seconds of the budget of store calls that may be spent at once; a start
  * reads all ranges.
  */
-const CALL_BURST_SECONDS = 2;
+const STORE_CALL_BURST_SECONDS = 2;
 
 /** Wires all parts of a daemon; the only place where they are constructed. */
 export function createDaemon(
@@ -69,7 +69,7 @@
     clock,
     {
       callsPerSecond: settings.platform.callsPerSecond,
-      burst: settings.platform.callsPerSecond * CALL_BURST_SECONDS,
+      burst: settings.platform.callsPerSecond * STORE_CALL_BURST_SECONDS,
     },
   );
   const holder = new ConfigurationHolder(logger);
@@ -96,11 +96,11 @@
     logger,
     metrics,
   });
-  const shareKeeper = new ShareAllocator(clock);
+  const shareAllocator = new ShareAllocator(clock);
   const shares = new ShareClient({
     link,
     membership,
-    allocator: shareKeeper,
+    allocator: shareAllocator,
     clock,
     random,
     getWorkspace: name => holder.getCurrent()?.getWorkspace(name),
@@ -142,22 +142,22 @@
       logger.logEvent('claim.unknown', {requestId: record.requestId}),
   });
 
-  const peerRequests = new PeerRequests({
+  const peerRequestHandler = new PeerRequestHandler({
     holder,
     follower,
     membership,
-    shareAllocator: shareKeeper,
+    shareAllocator,
     claimedCalls,
     decisionLog,
   });
-  link.setRequestHandler(request => peerRequests.answerRequest(request));
-  const exchange = new RevisionGossip({
+  link.setRequestHandler(request => peerRequestHandler.answerRequest(request));
+  const revisionGossip = new RevisionGossip({
     link,
     membership,
     clock,
     random,
     seeds: settings.peers.seeds,
-    getRevision: () => peerRequests.getRevision(),
+    getRevision: () => peerRequestHandler.getRevision(),
     refresh: () => follower.refresh(),
     offerSnapshot: (snapshot, source) => {
       const outcome = holder.offerSnapshot(snapshot, source);
@@ -190,7 +190,7 @@
   });
 
   const gate = new RequestGate(lifecycle, holder, shares);
-  const front = new RequestDispatcher({
+  const dispatcher = new RequestDispatcher({
     clock,
     logger,
     lifecycle,
@@ -220,7 +220,7 @@
         follower,
         publisher,
         logger,
-        status: new StatusReader({
+        statusReader: new StatusReader({
           membership,
           lifecycle,
           holder,
@@ -228,7 +228,7 @@
           groups,
           metrics,
         }),
-        why: new DecisionReader(decisionLog, membership, link),
+        decisionReader: new DecisionReader(decisionLog, membership, link),
         keys: settings.operators.keys,
         jsonDepth: settings.limits.jsonDepth,
       }),
@@ -237,7 +237,7 @@
 
   metrics.setGauge('process_cpu_seconds_total', {}, () => {
     const {user, system} = process.cpuUsage();
-    return (user + system) / MICROSECONDS;
+    return (user + system) / MICROSECONDS_PER_SECOND;
   });
   metrics.setGauge('process_resident_memory_bytes', {}, () =>
     process.memoryUsage.rss(),
@@ -246,7 +246,7 @@
     holder.getRevision(),
   );
   metrics.setGauge('hollowstack_requests_in_progress', {}, () =>
-    lifecycle.getInProgress(),
+    lifecycle.countInProgress(),
   );
   metrics.setGauge('hollowstack_store_calls', {}, () => store.getCallCount());
   metrics.setGauge('hollowstack_store_calls_refused', {}, () =>
@@ -264,22 +264,22 @@
     membership,
     link,
     keys,
-    revisionGossip: exchange,
+    revisionGossip,
     shares,
     poller,
     pauseGuard,
     placement,
     claimedCalls,
-    dispatcher: front,
+    dispatcher,
   });
 }
 
-const MICROSECONDS = 1e6;
+const MICROSECONDS_PER_SECOND = 1e6;
 /**
  * Milliseconds beyond a peer's own wait in which its answer must be there;
  * some hundred round trips.
  */
-const LINK_MARGIN_MS = 200;
+const PEER_REPLY_MARGIN_MS = 200;
 
 async function askOutcome(
   claim: HeldClaim,
@@ -294,7 +294,7 @@
     .sendRequest(
       peer.address,
       {type: 'outcome', claimKey: key, requestId: record.requestId, waitMs},
-      waitMs + LINK_MARGIN_MS,
+      waitMs + PEER_REPLY_MARGIN_MS,
     )
     .catch((): undefined => undefined);
   return reply?.type === 'outcome' ? reply.outcome : undefined;
--- a/packages/entry/src/daemon.ts
+++ b/packages/entry/src/daemon.ts
@@ -114,25 +114,29 @@
     const {clock, logger} = environment;
     lifecycle.setState('draining');
     logger.logEvent('entry.draining', {
-      inProgress: lifecycle.getInProgress(),
+      inProgress: lifecycle.countInProgress(),
     });
     await waitFor(clock, settings.drain.graceMs);
     lifecycle.setState('closing');
-    const isIdle = lifecycle
+    const requestsEnded = lifecycle
       .waitForIdle()
       .then(() => claimedCalls.waitForRecording())
       .then(() => true);
-    const limit = new AbortController();
-    const isLate = waitFor(clock, settings.drain.limitMs, limit.signal).then(
+    const limitTimer = new AbortController();
+    const limitReached = waitFor(
+      clock,
+      settings.drain.limitMs,
+      limitTimer.signal,
+    ).then(
       () => false,
       () => true,
     );
-    const isClean = await Promise.race([isIdle, isLate]);
+    const isClean = await Promise.race([requestsEnded, limitReached]);
     // A timer that is left would keep the process for all of its time.
-    limit.abort(new Error('drained'));
+    limitTimer.abort(new Error('drained'));
     if (!isClean) {
       logger.logEvent('entry.drain-late', {
-        inProgress: lifecycle.getInProgress(),
+        inProgress: lifecycle.countInProgress(),
       });
     }
     await this.stop();
--- a/packages/entry/src/json-body.ts
+++ b/packages/entry/src/json-body.ts
@@ -17,8 +17,8 @@
   const parsed = schema.safeParse(parseJson(text));
   if (parsed.success) return parsed.data;
   const issue = parsed.error.issues[0];
-  const place = issue.path.join('.') || 'body';
-  throw new HollowstackError('bad-request', `${place}: ${issue.message}`);
+  const location = issue.path.join('.') || 'body';
+  throw new HollowstackError('bad-request', `${location}: ${issue.message}`);
 }
 
 function parseJson(text: string): unknown {
--- a/packages/entry/src/lifecycle.ts
+++ b/packages/entry/src/lifecycle.ts
@@ -15,7 +15,7 @@
     this.state = state;
   }
 
-  getInProgress(): number {
+  countInProgress(): number {
     return this.inProgress;
   }
 
--- a/packages/entry/src/managed-pools.ts
+++ b/packages/entry/src/managed-pools.ts
@@ -22,9 +22,9 @@
   groups: GroupDirectory,
 ): ManagedPool | undefined {
   const statuses = groups.getPool(pool.name)?.listStatuses() ?? [];
-  const isWhole = statuses.length === pool.upstreams.length;
-  const isKnown = statuses.every(({models}) => models !== undefined);
-  if (!pool.placement || !isWhole || !isKnown) return undefined;
+  const hasAllEngines = statuses.length === pool.upstreams.length;
+  const haveAllReported = statuses.every(({models}) => models !== undefined);
+  if (!pool.placement || !hasAllEngines || !haveAllReported) return undefined;
   return {
     name: pool.name,
     ...pool.placement,
--- a/packages/entry/src/operator-endpoint.ts
+++ b/packages/entry/src/operator-endpoint.ts
@@ -28,8 +28,8 @@
   readonly follower: ConfigurationFollower;
   readonly publisher: ConfigurationPublisher;
   readonly logger: EventLogger;
-  readonly status: StatusReader;
-  readonly why: DecisionReader;
+  readonly statusReader: StatusReader;
+  readonly decisionReader: DecisionReader;
   /** Bearer tokens that are taken. */
   readonly keys: readonly string[];
   readonly jsonDepth: number;
@@ -78,11 +78,11 @@
           changes: await readChangeRecords(this.parts.store),
         });
       case 'GET status':
-        return createJsonResponse(200, this.parts.status.readStatus());
+        return createJsonResponse(200, this.parts.statusReader.readStatus());
       case `GET why ${request.segments[3]}`:
         return createJsonResponse(
           200,
-          await this.parts.why.readDecisions(request.segments[3]),
+          await this.parts.decisionReader.readDecisions(request.segments[3]),
         );
       default:
         throw new HollowstackError('not-found', 'no such operator call');
@@ -126,7 +126,7 @@
       changeId: published.changeId,
       author: body.author,
     });
-    await this.putInForce(published);
+    await this.applyPublished(published);
     return this.createPublishedResponse(published);
   }
 
@@ -138,13 +138,13 @@
       throw new HollowstackError('not-ready', 'nothing is in force here');
     }
     const published = await publisher.restore(current.snapshot, body);
-    await this.putInForce(published);
+    await this.applyPublished(published);
     return this.createPublishedResponse(published);
   }
 
   // The publishing instance takes the change without reading it back: should
   // the store lose it right after, the peers still learn of it from here.
-  private async putInForce(published: PublishResult): Promise<void> {
+  private async applyPublished(published: PublishResult): Promise<void> {
     const {holder, follower} = this.parts;
     if (published.snapshot)
       holder.offerSnapshot(published.snapshot, 'operator');
--- a/packages/entry/src/pause-guard.ts
+++ b/packages/entry/src/pause-guard.ts
@@ -3,13 +3,13 @@
 /**
  * Milliseconds between two ticks by which a pause of the process is noticed.
  */
-const TICK_MS = 500;
+const TICK_INTERVAL_MS = 500;
 /**
  * Milliseconds without a tick after which the process must have stood still.
  */
-const PAUSE_MS = 2000;
+const PAUSE_THRESHOLD_MS = 2000;
 /** Milliseconds that requests wait for what is read again after a pause. */
-const REFRESH_LIMIT_MS = 500;
+const REFRESH_TIMEOUT_MS = 500;
 
 /**
  * Notices that the process stood still. What it knows of leaving upstreams is
@@ -17,14 +17,14 @@
  */
 export class PauseGuard {
   private readonly clock: Clock;
-  private readonly refreshKnowledge: () => Promise<void>;
+  private readonly refreshInstanceList: () => Promise<void>;
   private tickedAtMs: number;
   private timer: Timer | undefined;
   private refreshing: Promise<void> | undefined;
 
-  constructor(clock: Clock, refreshKnowledge: () => Promise<void>) {
+  constructor(clock: Clock, refreshInstanceList: () => Promise<void>) {
     this.clock = clock;
-    this.refreshKnowledge = refreshKnowledge;
+    this.refreshInstanceList = refreshInstanceList;
     this.tickedAtMs = clock.getNow();
   }
 
@@ -38,15 +38,15 @@
 
   /** Resolves at once, or after a pause once what is known was read again. */
   async waitUntilFresh(): Promise<void> {
-    const isPaused = this.clock.getNow() - this.tickedAtMs > PAUSE_MS;
+    const isPaused = this.clock.getNow() - this.tickedAtMs > PAUSE_THRESHOLD_MS;
     if (isPaused && this.timer !== undefined) this.startRefresh();
     if (this.refreshing) await this.refreshing;
   }
 
   private startRefresh(): void {
     this.refreshing ??= Promise.race([
-      this.refreshKnowledge(),
-      waitFor(this.clock, REFRESH_LIMIT_MS),
+      this.refreshInstanceList(),
+      waitFor(this.clock, REFRESH_TIMEOUT_MS),
     ]).finally(() => {
       this.tickedAtMs = this.clock.getNow();
       this.refreshing = undefined;
@@ -55,9 +55,9 @@
 
   // The tick after a pause may come before the work that waits behind it.
   private recordTick(): void {
-    const isPaused = this.clock.getNow() - this.tickedAtMs > PAUSE_MS;
+    const isPaused = this.clock.getNow() - this.tickedAtMs > PAUSE_THRESHOLD_MS;
     if (isPaused) this.startRefresh();
     else if (!this.refreshing) this.tickedAtMs = this.clock.getNow();
-    this.timer = this.clock.schedule(TICK_MS, () => this.recordTick());
+    this.timer = this.clock.schedule(TICK_INTERVAL_MS, () => this.recordTick());
   }
 }
--- a/packages/entry/src/peer-requests.ts
+++ b/packages/entry/src/peer-requests.ts
@@ -13,7 +13,7 @@
 import {match} from 'ts-pattern';
 
 /** What peers' requests are answered from. */
-export interface PeerRequestParts {
+export interface PeerRequestHandlerParts {
   readonly holder: ConfigurationHolder;
   readonly follower: ConfigurationFollower;
   readonly membership: Membership;
@@ -28,10 +28,10 @@
 >;
 
 /** Answers what peers ask. */
-export class PeerRequests {
-  private readonly parts: PeerRequestParts;
+export class PeerRequestHandler {
+  private readonly parts: PeerRequestHandlerParts;
 
-  constructor(parts: PeerRequestParts) {
+  constructor(parts: PeerRequestHandlerParts) {
     this.parts = parts;
   }
 
@@ -41,8 +41,8 @@
       .with({type: 'snapshot'}, () => this.answerSnapshot())
       .with({type: 'members'}, () => this.answerMembers())
       .with({type: 'demand'}, demand => this.answerDemand(demand))
-      .with({type: 'outcome'}, asked => this.answerOutcome(asked))
-      .with({type: 'why'}, asked => this.answerWhy(asked))
+      .with({type: 'outcome'}, query => this.answerOutcome(query))
+      .with({type: 'why'}, query => this.answerWhy(query))
       .with({type: 'ping'}, () => ({type: 'done' as const}))
       .with(
         {type: 'stage-job'},
@@ -104,8 +104,8 @@
     return {type: 'share', ...share};
   }
 
-  private async answerOutcome(asked: RequestOf<'outcome'>): Promise<PeerReply> {
-    const {claimKey, requestId, waitMs} = asked;
+  private async answerOutcome(query: RequestOf<'outcome'>): Promise<PeerReply> {
+    const {claimKey, requestId, waitMs} = query;
     const outcome = await this.parts.claimedCalls.findOutcome(
       claimKey,
       requestId,
--- a/packages/entry/src/pipeline-endpoint.ts
+++ b/packages/entry/src/pipeline-endpoint.ts
@@ -77,7 +77,7 @@
       const run = this.openRun(request, admitted, pipelineName, body);
       return body.stream
         ? await this.answerStreaming(run)
-        : await this.answerWhole(run);
+        : await this.answerBuffered(run);
     } catch (error) {
       admitted.end();
       throw error;
@@ -133,7 +133,7 @@
     };
   }
 
-  private async answerWhole(run: PipelineRun): Promise<HttpResponse> {
+  private async answerBuffered(run: PipelineRun): Promise<HttpResponse> {
     const sink = new CollectingSink();
     const result = await this.run(run, sink);
     return createJsonResponse(200, createAnswer(run, result, sink.getText()), {
@@ -228,11 +228,11 @@
   readonly queue = new AsyncQueue<Uint8Array>();
   readonly begun: Promise<void>;
   private isBegun = false;
-  private acceptBegun: () => void = () => {};
+  private settleBegun: () => void = () => {};
 
   constructor() {
     super();
-    this.begun = new Promise(resolve => (this.acceptBegun = resolve));
+    this.begun = new Promise(resolve => (this.settleBegun = resolve));
   }
 
   hasBegun(): boolean {
@@ -263,6 +263,6 @@
 
   private begin(): void {
     this.isBegun = true;
-    this.acceptBegun();
+    this.settleBegun();
   }
 }
--- a/packages/entry/src/request-ids.ts
+++ b/packages/entry/src/request-ids.ts
@@ -7,9 +7,9 @@
 
   /** @param startedAtMs Milliseconds since the epoch; sets a restarted instance's ids apart. */
   constructor(instanceId: string, startedAtMs: number, random: () => number) {
-    const start = Math.floor(startedAtMs).toString(36);
-    const draw = Math.floor(random() * 36 ** 4).toString(36);
-    this.prefix = [instanceId, start + draw].join(SEPARATOR);
+    const startPart = Math.floor(startedAtMs).toString(36);
+    const randomPart = Math.floor(random() * 36 ** 4).toString(36);
+    this.prefix = [instanceId, startPart + randomPart].join(SEPARATOR);
   }
 
   createId(): string {
--- a/packages/entry/src/request-scope.ts
+++ b/packages/entry/src/request-scope.ts
@@ -65,14 +65,14 @@
   header: string | undefined,
 ): number {
   if (header === undefined) return arrivedAtMs + allowedMs;
-  const wantedMs = Number(header);
-  if (!Number.isFinite(wantedMs) || wantedMs <= 0) {
+  const requestedMs = Number(header);
+  if (!Number.isFinite(requestedMs) || requestedMs <= 0) {
     throw new HollowstackError(
       'bad-request',
       `${DEADLINE_HEADER}: write milliseconds as a number above 0`,
     );
   }
-  return arrivedAtMs + Math.min(allowedMs, wantedMs);
+  return arrivedAtMs + Math.min(allowedMs, requestedMs);
 }
 
 /** Returns the header by which a caller shortens its deadline. */
--- a/packages/entry/src/service-endpoint.ts
+++ b/packages/entry/src/service-endpoint.ts
@@ -40,12 +40,12 @@
 
 /** Segments of `/v1/workspaces/W/services/S` before the path of the service. */
 const FIXED_SEGMENTS = 5;
-const KEY_HEADER = 'idempotency-key';
+const IDEMPOTENCY_KEY_HEADER = 'idempotency-key';
 /**
  * Bytes of an answer that is recorded for resends; values of the store hold a
  * megabyte.
  */
-const MAX_KEPT_BYTES = 256 * 1024;
+const MAX_STORED_BYTES = 256 * 1024;
 /** Priority of calls to plain services, which have none of their own. */
 const SERVICE_PRIORITY = 1;
 
@@ -110,7 +110,7 @@
       this.recordOutcome(scope.context, request, 'answered');
       return response;
     } catch (thrown) {
-      const error = settleServiceError(thrown, scope.context, call);
+      const error = applyServiceRunStatus(thrown, scope.context, call);
       this.recordOutcome(scope.context, request, error.kind);
       throw error;
     } finally {
@@ -123,10 +123,10 @@
     call: ServiceCallRequest,
     context: RequestContext,
   ): Promise<HttpResponse> {
-    const key = request.http.headers[KEY_HEADER];
+    const key = request.http.headers[IDEMPOTENCY_KEY_HEADER];
     if (call.isRepeatable || key === undefined) {
       const answer = await this.parts.runner.runCall(call, context);
-      return createServiceResponse(request, toKeptAnswer(answer));
+      return createServiceResponse(request, toStoredAnswer(answer));
     }
     return this.runClaimed(request, call, key, context);
   }
@@ -151,7 +151,10 @@
       async (): Promise<CallOutcome> => {
         try {
           const done = await this.parts.runner.runCall(call, context);
-          return {type: 'finished', answer: applyKeptLimit(toKeptAnswer(done))};
+          return {
+            type: 'finished',
+            answer: applySizeLimit(toStoredAnswer(done)),
+          };
         } catch (error) {
           failure = error;
           return {type: context.mayHaveRun() ? 'unknown' : 'not-run'};
@@ -203,11 +206,13 @@
   service: Service,
 ): ServiceCallRequest {
   const {http, segments} = request;
-  const rest = segments.slice(FIXED_SEGMENTS).map(encodeURIComponent);
+  const serviceSegments = segments
+    .slice(FIXED_SEGMENTS)
+    .map(encodeURIComponent);
   const query = http.path.includes('?')
     ? http.path.slice(http.path.indexOf('?'))
     : '';
-  const pathname = '/' + rest.join('/');
+  const pathname = '/' + serviceSegments.join('/');
   const operation = service.operations.find(candidate =>
     isOperationFor(candidate, http.method, pathname),
   );
@@ -245,7 +250,7 @@
 }
 
 // For a call that must not be repeated, "it ran" is only said with its answer.
-function settleServiceError(
+function applyServiceRunStatus(
   thrown: unknown,
   context: RequestContext,
   call: ServiceCallRequest,
@@ -257,7 +262,7 @@
   return applyRunStatus(thrown, context, call.isRepeatable ? 'yes' : 'unknown');
 }
 
-function toKeptAnswer(answer: ServiceAnswer): StoredAnswer {
+function toStoredAnswer(answer: ServiceAnswer): StoredAnswer {
   return {
     status: answer.status,
     contentType: answer.headers['content-type'] ?? 'application/octet-stream',
@@ -265,8 +270,8 @@
   };
 }
 
-function applyKeptLimit(answer: StoredAnswer): StoredAnswer {
-  const isTooLarge = (answer.body?.length ?? 0) > MAX_KEPT_BYTES;
+function applySizeLimit(answer: StoredAnswer): StoredAnswer {
+  const isTooLarge = (answer.body?.length ?? 0) > MAX_STORED_BYTES;
   return isTooLarge ? {...answer, body: undefined} : answer;
 }
 
@@ -294,11 +299,11 @@
   signal: AbortSignal,
 ): Promise<Value> {
   return new Promise((resolve, reject) => {
-    const stopWaiting = () => reject(signal.reason);
-    signal.addEventListener('abort', stopWaiting, {once: true});
-    if (signal.aborted) stopWaiting();
+    const handleAbort = () => reject(signal.reason);
+    signal.addEventListener('abort', handleAbort, {once: true});
+    if (signal.aborted) handleAbort();
     promise.then(resolve, reject).finally(() => {
-      signal.removeEventListener('abort', stopWaiting);
+      signal.removeEventListener('abort', handleAbort);
     });
   });
 }
--- a/packages/entry/src/status-reader.ts
+++ b/packages/entry/src/status-reader.ts
@@ -63,14 +63,14 @@
       state: lifecycle.getState(),
       revision: holder.getRevision(),
       isStoreDown: follower.isStoreUnavailable(),
-      inProgress: lifecycle.getInProgress(),
+      inProgress: lifecycle.countInProgress(),
       peers: membership.listPeers(),
-      groups: this.listGroups(),
-      latencies: this.listLatencies(),
+      groups: this.listGroupStatuses(),
+      latencies: this.listLatencyStatuses(),
     };
   }
 
-  private listGroups(): GroupStatus[] {
+  private listGroupStatuses(): GroupStatus[] {
     return this.parts.groups.listGroups().map(group => ({
       name: group.getSettings().name,
       limit: group.slotQueue.getLimit(),
@@ -79,7 +79,7 @@
     }));
   }
 
-  private listLatencies(): LatencyStatus[] {
+  private listLatencyStatuses(): LatencyStatus[] {
     return this.parts.metrics
       .listHistograms('hollowstack_request_seconds')
       .map(({labels, histogram}) => ({
--- a/packages/pipeline/src/attempt-error.ts
+++ b/packages/pipeline/src/attempt-error.ts
@@ -20,7 +20,7 @@
   readonly failure: AttemptFailure;
   /** Milliseconds for which the upstream wants no work; undefined where it named none. */
   readonly retryAfterMs: number | undefined;
-  private readonly neverLeft: boolean;
+  private readonly isUnsent: boolean;
 
   constructor(
     failure: AttemptFailure,
@@ -30,13 +30,13 @@
     super(message, {cause});
     this.name = 'AttemptError';
     this.failure = failure;
-    this.neverLeft = isUnsent;
+    this.isUnsent = isUnsent;
     this.retryAfterMs = retryAfterMs;
   }
 
   /** Whether the upstream may have begun the work. */
   mayHaveRun(): boolean {
-    if (this.neverLeft) return false;
+    if (this.isUnsent) return false;
     return this.failure !== 'refused' && this.failure !== 'not-run';
   }
 }
--- a/packages/pipeline/src/attempt.test.ts
+++ b/packages/pipeline/src/attempt.test.ts
@@ -27,10 +27,10 @@
   }
 }
 
-function createWatch(getLastSignAtMs: () => number): AttemptMonitor {
+function createMonitor(getLastActivityAtMs: () => number): AttemptMonitor {
   return {
     silenceMs: SILENCE_MS,
-    getLastActivityAtMs: getLastSignAtMs,
+    getLastActivityAtMs,
     recordChunk: () => {},
   };
 }
@@ -38,13 +38,13 @@
 async function readAnswer(
   clock: ManualClock,
   client: QueueClient,
-  getLastSignAtMs: () => number,
+  getLastActivityAtMs: () => number,
 ): Promise<string> {
   const attempt = new Attempt(
     client,
     clock,
     'attempt-1',
-    createWatch(getLastSignAtMs),
+    createMonitor(getLastActivityAtMs),
     new AbortController().signal,
   );
   const response = await attempt.send('127.0.0.1:1', CALL);
@@ -92,7 +92,7 @@
       new RefusingClient(value),
       new ManualClock(),
       'attempt-1',
-      createWatch(() => 0),
+      createMonitor(() => 0),
       new AbortController().signal,
     );
     await assert.rejects(attempt.send('127.0.0.1:1', CALL), {
--- a/packages/pipeline/src/attempt.ts
+++ b/packages/pipeline/src/attempt.ts
@@ -54,10 +54,10 @@
   private readonly client: HttpClient;
   private readonly clock: Clock;
   private readonly attemptId: string;
-  private readonly watch: AttemptMonitor;
+  private readonly monitor: AttemptMonitor;
   private readonly controller = new AbortController();
   private readonly parent: AbortSignal;
-  private readonly followParent = () =>
+  private readonly cancelWithParent = () =>
     this.cancelAttempt('given-up', 'stopped');
   private failure: AttemptError | undefined;
   private lastByteAtMs: number;
@@ -72,19 +72,19 @@
     client: HttpClient,
     clock: Clock,
     attemptId: string,
-    watch: AttemptMonitor,
+    monitor: AttemptMonitor,
     parent: AbortSignal,
   ) {
     this.client = client;
     this.clock = clock;
     this.attemptId = attemptId;
-    this.watch = watch;
+    this.monitor = monitor;
     this.parent = parent;
     this.startedAtMs = clock.getNow();
     this.lastByteAtMs = this.startedAtMs;
-    this.timer = this.scheduleCheck(watch.silenceMs);
-    parent.addEventListener('abort', this.followParent, {once: true});
-    if (parent.aborted) this.followParent();
+    this.timer = this.scheduleCheck(monitor.silenceMs);
+    parent.addEventListener('abort', this.cancelWithParent, {once: true});
+    if (parent.aborted) this.cancelWithParent();
   }
 
   /** Sends the call; resolves with an answer whose body fails with AttemptError too. */
@@ -97,7 +97,7 @@
       });
       this.lastByteAtMs = this.clock.getNow();
       this.checkHead(response);
-      return {...response, body: this.followBody(response.body)};
+      return {...response, body: this.watchBody(response.body)};
     } catch (error) {
       throw this.toAttemptError(error);
     }
@@ -114,7 +114,7 @@
   /** Ends the attempt; an answer still under way is cut off. */
   close(): void {
     this.timer.cancel();
-    this.parent.removeEventListener('abort', this.followParent);
+    this.parent.removeEventListener('abort', this.cancelWithParent);
     this.controller.abort(new Error('attempt closed'));
   }
 
@@ -133,14 +133,14 @@
     }
   }
 
-  private async *followBody(
+  private async *watchBody(
     body: AsyncIterable<Uint8Array>,
   ): AsyncGenerator<Uint8Array> {
     try {
       for await (const chunk of body) {
         if (this.failure) throw this.failure;
         this.lastByteAtMs = this.clock.getNow();
-        this.watch.recordChunk();
+        this.monitor.recordChunk();
         this.firstByteMs ??= this.lastByteAtMs - this.startedAtMs;
         yield chunk;
       }
@@ -154,27 +154,28 @@
   // chunk would cost more than the relay of the chunk itself.
   private scheduleCheck(delayMs: number): Timer {
     return this.clock.schedule(delayMs, () => {
-      const {silenceMs} = this.watch;
-      const ownSilentMs = this.clock.getNow() - this.lastByteAtMs;
-      const silentMs = this.getSilentMs(ownSilentMs);
-      if (silentMs >= silenceMs) {
+      const {silenceMs} = this.monitor;
+      const ownInactivityMs = this.clock.getNow() - this.lastByteAtMs;
+      const inactivityMs = this.getInactivityMs(ownInactivityMs);
+      if (inactivityMs >= silenceMs) {
         this.cancelAttempt(
           'silent',
-          `no byte for ${Math.round(ownSilentMs)} ms`,
+          `no byte for ${Math.round(ownInactivityMs)} ms`,
         );
         return;
       }
       // At least a millisecond: a rest too small to move the clock's number on
       // would be checked for ever.
-      this.timer = this.scheduleCheck(Math.max(1, silenceMs - silentMs));
+      this.timer = this.scheduleCheck(Math.max(1, silenceMs - inactivityMs));
     });
   }
 
   // An upstream that answers others is not stuck: what is silent here waits
   // in its queue, and sending it elsewhere would only add to the load.
-  private getSilentMs(ownSilentMs: number): number {
-    const sinceSignMs = this.clock.getNow() - this.watch.getLastActivityAtMs();
-    return Math.min(ownSilentMs, sinceSignMs);
+  private getInactivityMs(ownInactivityMs: number): number {
+    const sinceActivityMs =
+      this.clock.getNow() - this.monitor.getLastActivityAtMs();
+    return Math.min(ownInactivityMs, sinceActivityMs);
   }
 
   private cancelAttempt(failure: 'silent' | 'given-up', message: string): void {
@@ -183,9 +184,9 @@
   }
 
   private toAttemptError(error: unknown): AttemptError {
-    const neverLeft =
+    const hasSentNothing =
       error instanceof TransportError && error.progress === 'none';
-    if (neverLeft) {
+    if (hasSentNothing) {
       const failure =
         this.failure?.failure === 'given-up' ? 'given-up' : 'refused';
       return new AttemptError(failure, error.message, {
@@ -202,7 +203,7 @@
 
 // What cannot be read counts as nothing named; the refusal itself is logged.
 function readRetryAfterMs(headers: HttpHeaders): number | undefined {
-  const askedMs = parseRetryAfterMs(headers[RETRY_AFTER_HEADER] ?? '');
-  if (askedMs === undefined) return undefined;
-  return Math.min(askedMs, MAX_BACK_OFF_MS);
+  const requestedMs = parseRetryAfterMs(headers[RETRY_AFTER_HEADER] ?? '');
+  if (requestedMs === undefined) return undefined;
+  return Math.min(requestedMs, MAX_BACK_OFF_MS);
 }
--- a/packages/pipeline/src/group-directory.ts
+++ b/packages/pipeline/src/group-directory.ts
@@ -79,18 +79,24 @@
     const {instanceId, subsetSize, getInstanceCount} = this.options;
     const policy = this.options.healthPolicy ?? DEFAULT_HEALTH_POLICY;
     const upstreams = chooseSubset(instanceId, settings.upstreams, subsetSize);
-    const own = {...settings, upstreams};
-    const known = groups.get(settings.name);
-    if (known) {
-      known.setSettings(own, getInstanceCount());
+    const subsetSettings = {...settings, upstreams};
+    const existing = groups.get(settings.name);
+    if (existing) {
+      existing.setSettings(subsetSettings, getInstanceCount());
       return;
     }
     groups.set(
       settings.name,
-      new UpstreamGroup(own, getInstanceCount(), this.clock, this.logger, {
-        healthPolicy: policy,
-        adaptLimits: this.options.adaptLimits,
-      }),
+      new UpstreamGroup(
+        subsetSettings,
+        getInstanceCount(),
+        this.clock,
+        this.logger,
+        {
+          healthPolicy: policy,
+          adaptLimits: this.options.adaptLimits,
+        },
+      ),
     );
   }
 }
--- a/packages/pipeline/src/group-runner.ts
+++ b/packages/pipeline/src/group-runner.ts
@@ -8,7 +8,7 @@
 import type {RequestContext} from './request-context.ts';
 import type {UpstreamGroup} from './upstream-group.ts';
 import {
-  EFFORTS,
+  OBJECTIVE_POLICIES,
   getAffinityKey,
   getFirstByteKey,
   toRoutableWork,
@@ -21,9 +21,9 @@
  * Multiple of the usual time to the first byte after which silence is a
  * failure.
  */
-const SILENCE_FACTOR = 4;
+const SILENCE_TIMEOUT_FACTOR = 4;
 /** Milliseconds of silence that no upstream is blamed for. */
-const MIN_SILENCE_MS = 250;
+const MIN_SILENCE_TIMEOUT_MS = 250;
 
 /** Runs a piece of work at one upstream after the other until it is whole. */
 export class GroupRunner {
@@ -39,22 +39,22 @@
     work: GroupWork,
     context: RequestContext,
   ): Promise<GroupOutcome> {
-    const tried = new Set<string>();
+    const triedIds = new Set<string>();
     let waitedMs = 0;
     group.retryBudget.recordRequest();
     for (let attempts = 1; ; attempts++) {
       this.checkDeadline(group, work, context);
-      const place = await this.acquirePlace(group, work, context);
-      waitedMs += place.waitedMs;
+      const slot = await this.acquirePoolSlot(group, work, context);
+      waitedMs += slot.waitedMs;
       try {
         await this.parts.waitUntilFresh();
-        const upstream = await this.attemptOnce(group, work, context, tried);
+        const upstream = await this.attemptOnce(group, work, context, triedIds);
         return {upstream, attempts, waitedMs};
       } catch (error) {
         if (!(error instanceof AttemptError)) throw error;
         this.checkRetry(group, work, context, error, attempts);
       } finally {
-        place.release();
+        slot.release();
       }
     }
   }
@@ -65,20 +65,20 @@
     context: RequestContext,
   ): void {
     const {identity, clock} = context;
-    const placed = toRoutableWork(work, context);
-    const bestMs = group.predictBestMs(placed);
+    const routable = toRoutableWork(work, context);
+    const bestMs = group.predictBestMs(routable);
     if (bestMs === undefined) {
-      throw this.createUnavailable(group, work, context);
+      throw this.createUnavailableError(group, work, context);
     }
     if (!this.parts.policy.refuseDoomed) return;
-    const usualMs = group.durations.getMeanMs(placed.classKey, bestMs);
-    const ahead = group.slotQueue.countAhead(identity.priority);
+    const meanMs = group.durations.getMeanMs(routable.classKey, bestMs);
+    const aheadCount = group.slotQueue.countAhead(identity.priority);
     const verdict = judgeDeadline({
       nowMs: clock.getNow(),
       deadlineMs: identity.deadlineMs,
-      waitMs: (ahead * bestMs) / group.slotQueue.getLimit(),
-      remainingMs: Math.max(bestMs, usualMs) + work.laterStagesMs,
-      requiredShare: EFFORTS[identity.objective].requiredShare,
+      waitMs: (aheadCount * bestMs) / group.slotQueue.getLimit(),
+      remainingMs: Math.max(bestMs, meanMs) + work.laterStagesMs,
+      requiredShare: OBJECTIVE_POLICIES[identity.objective].requiredShare,
     });
     if (verdict.isReachable) return;
     const {leftMs, neededMs, retryAfterMs} = verdict;
@@ -88,7 +88,7 @@
       'refused: the predicted finish lies behind the deadline',
       [
         `left ${leftMs.toFixed(0)} ms, needed ${neededMs.toFixed(0)} ms`,
-        `${ahead} ahead, ${work.laterStagesMs.toFixed(0)} ms for later stages`,
+        `${aheadCount} ahead, ${work.laterStagesMs.toFixed(0)} ms for later stages`,
       ],
       `pipelines.${identity.target}.deadlineMs of workspace ${identity.workspace}`,
     );
@@ -99,14 +99,14 @@
     );
   }
 
-  private async acquirePlace(
+  private async acquirePoolSlot(
     group: UpstreamGroup,
     work: GroupWork,
     context: RequestContext,
   ): Promise<PoolSlot> {
     const {identity, signal} = context;
     const bestMs = group.predictBestMs(toRoutableWork(work, context)) ?? 0;
-    const {requiredShare} = EFFORTS[identity.objective];
+    const {requiredShare} = OBJECTIVE_POLICIES[identity.objective];
     const neededMs = this.parts.policy.refuseDoomed
       ? (bestMs + work.laterStagesMs) * requiredShare
       : 0;
@@ -140,20 +140,25 @@
     group: UpstreamGroup,
     work: GroupWork,
     context: RequestContext,
-    tried: Set<string>,
+    triedIds: Set<string>,
   ): Promise<string> {
-    const choice = this.chooseUpstream(group, work, context, tried);
+    const choice = this.chooseUpstream(group, work, context, triedIds);
     const upstream = group.getUpstream(choice.id)!;
-    const placed = toRoutableWork(work, context);
+    const routable = toRoutableWork(work, context);
     const startedAtMs = this.parts.clock.getNow();
-    tried.add(choice.id);
+    triedIds.add(choice.id);
     const occupancy = group.recordDispatch(choice.id);
     const attempt = new Attempt(
       this.parts.client,
       this.parts.clock,
       context.createAttemptId(),
       {
-        silenceMs: this.computeSilenceMs(group, work, context, occupancy),
+        silenceMs: this.computeSilenceTimeoutMs(
+          group,
+          work,
+          context,
+          occupancy,
+        ),
         getLastActivityAtMs: () => group.getLastActivityAtMs(choice.id),
         recordChunk: () => group.recordChunk(choice.id),
       },
@@ -174,7 +179,7 @@
         attempt.getFirstByteMs() ?? 0,
       );
       const durationMs = this.parts.clock.getNow() - startedAtMs;
-      group.recordSuccess(choice.id, placed, durationMs, occupancy);
+      group.recordSuccess(choice.id, routable, durationMs, occupancy);
       context.endAttempt(true);
       return choice.id;
     } catch (error) {
@@ -183,12 +188,12 @@
       this.recordFailure(group, work, context, choice.id, failure);
       if (failure.failure === 'given-up' || failure.failure === 'silent') {
         const elapsedMs = this.parts.clock.getNow() - startedAtMs;
-        group.recordUnfinished(choice.id, placed, elapsedMs, occupancy);
+        group.recordUnfinished(choice.id, routable, elapsedMs, occupancy);
       }
       throw failure;
     } finally {
       attempt.close();
-      this.recordBusy(group, work, context, startedAtMs);
+      this.recordUpstreamLatency(group, work, context, startedAtMs);
     }
   }
 
@@ -196,16 +201,16 @@
     group: UpstreamGroup,
     work: GroupWork,
     context: RequestContext,
-    tried: ReadonlySet<string>,
+    triedIds: ReadonlySet<string>,
   ): Choice {
-    const placed = toRoutableWork(work, context);
-    const candidates = group.listCandidates(placed, tried);
-    const {prompt} = placed;
+    const routable = toRoutableWork(work, context);
+    const candidates = group.listCandidates(routable, triedIds);
+    const {prompt} = routable;
     const choice = this.parts.selector.chooseUpstream({
       candidates,
       affinityKey: prompt === undefined ? undefined : getAffinityKey(prompt),
     });
-    if (!choice) throw this.createUnavailable(group, work, context);
+    if (!choice) throw this.createUnavailableError(group, work, context);
     const compared = candidates.filter(({id}) => choice.compared.includes(id));
     context.recordDecision(
       work.stage,
@@ -219,7 +224,7 @@
     return choice;
   }
 
-  private createUnavailable(
+  private createUnavailableError(
     group: UpstreamGroup,
     work: GroupWork,
     context: RequestContext,
@@ -289,7 +294,7 @@
     attempts: number,
   ): void {
     if (context.signal.aborted) throw context.signal.reason;
-    const {maxAttempts} = EFFORTS[context.identity.objective];
+    const {maxAttempts} = OBJECTIVE_POLICIES[context.identity.objective];
     const verdict = judgeRetry({
       attempts,
       maxAttempts,
@@ -328,7 +333,7 @@
 
   // A wedged upstream is found by how long others took, well before the pool's
   // own bound, or no time would be left to go elsewhere.
-  private computeSilenceMs(
+  private computeSilenceTimeoutMs(
     group: UpstreamGroup,
     work: GroupWork,
     context: RequestContext,
@@ -336,17 +341,20 @@
   ): number {
     const {silenceMs} = group.getSettings();
     if (!work.isRepeatable || !this.parts.policy.adaptSilence) return silenceMs;
-    const usualMs = group.durations.getMeanMs(
+    const meanMs = group.durations.getMeanMs(
       getFirstByteKey(work, context),
       silenceMs,
     );
     return Math.min(
       silenceMs,
-      Math.max(MIN_SILENCE_MS, usualMs * SILENCE_FACTOR * (1 + occupancy)),
+      Math.max(
+        MIN_SILENCE_TIMEOUT_MS,
+        meanMs * SILENCE_TIMEOUT_FACTOR * (1 + occupancy),
+      ),
     );
   }
 
-  private recordBusy(
+  private recordUpstreamLatency(
     group: UpstreamGroup,
     work: GroupWork,
     context: RequestContext,
--- a/packages/pipeline/src/group-work.ts
+++ b/packages/pipeline/src/group-work.ts
@@ -44,7 +44,7 @@
 }
 
 /** How far a request's attempts go, by what its workspace weighs more. */
-export interface Effort {
+export interface ObjectivePolicy {
   readonly maxAttempts: number;
   /** Share of a predicted duration that must fit into the time left. */
   readonly requiredShare: number;
@@ -54,7 +54,9 @@
  * Attainment tries a request that will probably be late; cost spends nothing
  * on one that is not likely to make it.
  */
-export const EFFORTS: Readonly<Record<'attainment' | 'cost', Effort>> = {
+export const OBJECTIVE_POLICIES: Readonly<
+  Record<'attainment' | 'cost', ObjectivePolicy>
+> = {
   attainment: {maxAttempts: 3, requiredShare: 0.7},
   cost: {maxAttempts: 2, requiredShare: 0.95},
 };
@@ -63,11 +65,11 @@
  * Characters at the beginning of a prompt that name its home; enough to tell
  * templates apart.
  */
-const AFFINITY_CHARACTERS = 128;
+const AFFINITY_PREFIX_CHARACTERS = 128;
 
 /** Returns the key of prompts that begin alike: they share cache blocks. */
 export function getAffinityKey(prompt: string): string {
-  return prompt.slice(0, AFFINITY_CHARACTERS);
+  return prompt.slice(0, AFFINITY_PREFIX_CHARACTERS);
 }
 
 /** Returns what matters of a piece of work for its placing. */
--- a/packages/pipeline/src/load-poller.ts
+++ b/packages/pipeline/src/load-poller.ts
@@ -17,7 +17,7 @@
  * Milliseconds for an upstream's report; an older one says nothing of its
  * load.
  */
-const TIMEOUT_MS = 800;
+const REPORT_TIMEOUT_MS = 800;
 /** HTTP status. */
 const OK = 200;
 
@@ -29,7 +29,7 @@
   private readonly client: HttpClient;
   private readonly clock: Clock;
   private readonly task: RepeatingTask;
-  private readonly reading = new AbortController();
+  private readonly abortController = new AbortController();
 
   /** @param pollMs Milliseconds between two readings of each upstream. */
   constructor(
@@ -55,7 +55,7 @@
 
   stop(): void {
     this.task.stop();
-    this.reading.abort(new Error('stopped'));
+    this.abortController.abort(new Error('stopped'));
   }
 
   private async pollAll(): Promise<void> {
@@ -80,9 +80,9 @@
     );
     if (report.success) group.recordReport(upstream.id, report.data);
     if (!report.data?.tokensPerSecond) return;
-    const after = group.getLastCacheSequence(upstream.id);
+    const lastSequence = group.getLastCacheSequence(upstream.id);
     const events = cacheEventsSchema.safeParse(
-      await this.readPath(upstream, `/cache-events?after=${after}`),
+      await this.readPath(upstream, `/cache-events?after=${lastSequence}`),
     );
     if (events.success)
       group.recordCacheEvents(upstream.id, events.data.events);
@@ -91,9 +91,9 @@
   private async readPath(upstream: Upstream, path: string): Promise<unknown> {
     const deadline = createDeadlineSignal(
       this.clock,
-      TIMEOUT_MS,
+      REPORT_TIMEOUT_MS,
       () => new Error('report is late'),
-      this.reading.signal,
+      this.abortController.signal,
     );
     try {
       const response = await this.client.send(upstream.address, {
--- a/packages/pipeline/src/pipeline-runner.ts
+++ b/packages/pipeline/src/pipeline-runner.ts
@@ -50,10 +50,10 @@
         await this.runStage(stage, laterMs, request, context, state, sink),
       );
     }
-    const last = request.template.stages.at(-1)!.kind;
+    const lastKind = request.template.stages.at(-1)!.kind;
     return {
-      ...(last === 'encode' ? {embedding: state.embedding} : {}),
-      ...(last === 'retrieve' || last === 'rerank'
+      ...(lastKind === 'encode' ? {embedding: state.embedding} : {}),
+      ...(lastKind === 'retrieve' || lastKind === 'rerank'
         ? {documents: state.documents}
         : {}),
       stages: timings,
@@ -112,13 +112,13 @@
     for (const stage of stages) {
       const group = this.getGroup(stage);
       const {expectedMs} = group.getSettings();
-      const work =
+      const units =
         stage.kind === 'generate'
           ? request.pipeline.maxTokens / TOKENS_PER_WORK_UNIT
           : 1;
       totalMs += group.durations.getMeanMs(
         getStageKey(stage, context),
-        expectedMs * work,
+        expectedMs * units,
       );
     }
     return totalMs;
@@ -135,7 +135,7 @@
 }
 
 /** What work that ran out of its deadline would have taken, over what it got. */
-const UNFINISHED_FACTOR = 1.3;
+const UNFINISHED_DURATION_FACTOR = 1.3;
 
 // Were only finished work to count, a class of which one in ten makes it would
 // look as if all could.
@@ -146,12 +146,12 @@
   error: unknown,
   elapsedMs: number,
 ): void {
-  const isLate =
+  const isDeadlineExceeded =
     error instanceof HollowstackError && error.kind === 'deadline-exceeded';
-  if (!isLate) return;
+  if (!isDeadlineExceeded) return;
   group.durations.recordMs(
     getStageKey(stage, context),
-    elapsedMs * UNFINISHED_FACTOR,
+    elapsedMs * UNFINISHED_DURATION_FACTOR,
   );
 }
 
--- a/packages/pipeline/src/pool-slot-queue.ts
+++ b/packages/pipeline/src/pool-slot-queue.ts
@@ -23,8 +23,8 @@
 }
 
 interface Waiter extends SlotRequest {
-  readonly askedAtMs: number;
-  readonly grant: (place: PoolSlot) => void;
+  readonly enqueuedAtMs: number;
+  readonly grant: (slot: PoolSlot) => void;
   readonly reject: (error: HollowstackError) => void;
   timer: Timer | undefined;
 }
@@ -32,7 +32,7 @@
 // As long as reports take to tell of the last change.
 const SAMPLE_INTERVAL_MS = 1000;
 /** Requests that may wait for one group of upstreams; a bound on memory. */
-const MAX_WAITING = 2000;
+const MAX_WAITING_REQUESTS = 2000;
 
 /** Gives out the places that this instance has in one pool. */
 export class PoolSlotQueue implements InServiceCount {
@@ -45,7 +45,7 @@
   private sampledAtMs = 0;
   private wasFull = false;
   private wasRefused = false;
-  private reportedQueue = 0;
+  private reportedQueuedPerSlot = 0;
 
   /** @param isAdaptive Whether the limit moves; a baseline keeps it still. */
   constructor(
@@ -77,7 +77,7 @@
 
   setBounds(options: AdaptiveLimitOptions): void {
     this.limit.setBounds(options);
-    this.grantPlaces();
+    this.grantSlots();
   }
 
   /**
@@ -88,39 +88,42 @@
    */
   acquireSlot(request: SlotRequest, signal: AbortSignal): Promise<PoolSlot> {
     if (signal.aborted) return Promise.reject(signal.reason);
-    if (this.waiting.length >= MAX_WAITING) {
+    if (this.waiting.length >= MAX_WAITING_REQUESTS) {
       return Promise.reject(
-        new HollowstackError('overloaded', `${MAX_WAITING} requests wait`),
+        new HollowstackError(
+          'overloaded',
+          `${MAX_WAITING_REQUESTS} requests wait`,
+        ),
       );
     }
     return new Promise((resolve, reject) => {
-      const stopWaiting = () => {
+      const handleAbort = () => {
         this.removeWaiter(waiter);
         reject(signal.reason);
       };
       const waiter: Waiter = {
         ...request,
-        askedAtMs: this.clock.getNow(),
-        grant: place => {
-          signal.removeEventListener('abort', stopWaiting);
-          resolve(place);
+        enqueuedAtMs: this.clock.getNow(),
+        grant: slot => {
+          signal.removeEventListener('abort', handleAbort);
+          resolve(slot);
         },
         reject: error => {
-          signal.removeEventListener('abort', stopWaiting);
+          signal.removeEventListener('abort', handleAbort);
           reject(error);
         },
         timer: undefined,
       };
-      signal.addEventListener('abort', stopWaiting, {once: true});
+      signal.addEventListener('abort', handleAbort, {once: true});
       this.waiting.push(waiter);
-      this.grantPlaces();
+      this.grantSlots();
       if (this.waiting.includes(waiter)) this.scheduleRefusal(waiter);
     });
   }
 
   /** Tells how long the upstreams' queues are, for each request they can work on. */
-  recordReportedQueue(reportedQueue: number): void {
-    this.reportedQueue = reportedQueue;
+  recordReportedQueuedPerSlot(reportedQueuedPerSlot: number): void {
+    this.reportedQueuedPerSlot = reportedQueuedPerSlot;
   }
 
   /** Tells that an upstream refused work as overloaded. */
@@ -132,7 +135,7 @@
     const delayMs = waiter.latestStartMs - this.clock.getNow();
     waiter.timer = this.clock.schedule(delayMs, () => {
       this.removeWaiter(waiter);
-      const waitedMs = Math.round(this.clock.getNow() - waiter.askedAtMs);
+      const waitedMs = Math.round(this.clock.getNow() - waiter.enqueuedAtMs);
       waiter.reject(
         new HollowstackError(
           'deadline-unreachable',
@@ -148,7 +151,7 @@
     if (index >= 0) this.waiting.splice(index, 1);
   }
 
-  private grantPlaces(): void {
+  private grantSlots(): void {
     while (this.waiting.length > 0) {
       const index = chooseNextWaiting(
         this.waiting,
@@ -160,22 +163,22 @@
         this.wasFull = true;
         return;
       }
-      this.grantPlace(this.waiting[index]);
+      this.grantSlot(this.waiting[index]);
     }
   }
 
-  private grantPlace(waiter: Waiter): void {
+  private grantSlot(waiter: Waiter): void {
     this.removeWaiter(waiter);
     this.addInService(waiter.workspace, 1);
     let isReleased = false;
     waiter.grant({
-      waitedMs: this.clock.getNow() - waiter.askedAtMs,
+      waitedMs: this.clock.getNow() - waiter.enqueuedAtMs,
       release: () => {
         if (isReleased) return;
         isReleased = true;
         this.addInService(waiter.workspace, -1);
         this.recordSample();
-        this.grantPlaces();
+        this.grantSlots();
       },
     });
   }
@@ -195,7 +198,7 @@
     this.limit.applySample({
       hadWaitingWork: this.wasFull,
       wasRefused: this.wasRefused,
-      queuedPerSlot: this.reportedQueue,
+      queuedPerSlot: this.reportedQueuedPerSlot,
     });
     this.wasFull = false;
     this.wasRefused = false;
--- a/packages/pipeline/src/request-context.ts
+++ b/packages/pipeline/src/request-context.ts
@@ -23,7 +23,7 @@
   readonly clock: Clock;
   private readonly record: RequestDecisions;
   private attemptCount = 0;
-  private isDispatched = false;
+  private hasPossiblyRun = false;
   private openAttempts = 0;
 
   constructor(
@@ -60,12 +60,12 @@
   /** Notes how the attempt ended: whether the upstream may have begun the work. */
   endAttempt(mayHaveRun: boolean): void {
     this.openAttempts -= 1;
-    this.isDispatched ||= mayHaveRun;
+    this.hasPossiblyRun ||= mayHaveRun;
   }
 
   /** Returns whether any upstream may have begun work of this request. */
   mayHaveRun(): boolean {
-    return this.isDispatched || this.openAttempts > 0;
+    return this.hasPossiblyRun || this.openAttempts > 0;
   }
 
   /** Adds a decision to what `why` tells. */
--- a/packages/pipeline/src/service-runner.ts
+++ b/packages/pipeline/src/service-runner.ts
@@ -28,7 +28,7 @@
 }
 
 /** HTTP status: from here on the upstream has failed. */
-const FIRST_SERVER_ERROR = 500;
+const FIRST_SERVER_ERROR_STATUS = 500;
 
 /** Runs calls of plain services. */
 export class ServiceRunner {
@@ -84,7 +84,7 @@
     const body = await readBody(response.body);
     // The service's own word on a call that must not be repeated is the
     // caller's to read, failures as well.
-    if (status >= FIRST_SERVER_ERROR && this.isRepeatable) {
+    if (status >= FIRST_SERVER_ERROR_STATUS && this.isRepeatable) {
       throw new AttemptError('broken', `status ${status}`);
     }
     this.answer = {status, headers, body};
--- a/packages/pipeline/src/stage-calls.ts
+++ b/packages/pipeline/src/stage-calls.ts
@@ -24,7 +24,7 @@
  * Characters of input that cost as much as a call itself; a guess until
  * durations are learnt.
  */
-const CHARACTERS_PER_WORK = 2000;
+const CHARACTERS_PER_WORK_UNIT = 2000;
 /** Tokens that the expected duration of a generate pool is given for. */
 export const TOKENS_PER_WORK_UNIT = 64;
 const END_MARKER = '[DONE]';
@@ -74,12 +74,12 @@
   }
 
   async readResponse(response: HttpResponse): Promise<void> {
-    const answer = embeddingsSchema.parse(await readWholeJson(response));
+    const answer = embeddingsSchema.parse(await readJsonResponse(response));
     this.state.embedding = answer.data[0].embedding;
   }
 
   getRemainingUnits(): number {
-    return 1 + this.state.input.length / CHARACTERS_PER_WORK;
+    return 1 + this.state.input.length / CHARACTERS_PER_WORK_UNIT;
   }
 }
 
@@ -99,7 +99,7 @@
   }
 
   async readResponse(response: HttpResponse): Promise<void> {
-    const answer = documentsSchema.parse(await readWholeJson(response));
+    const answer = documentsSchema.parse(await readJsonResponse(response));
     this.state.documents = answer.documents;
   }
 
@@ -131,14 +131,14 @@
   }
 
   async readResponse(response: HttpResponse): Promise<void> {
-    const answer = rerankSchema.parse(await readWholeJson(response));
+    const answer = rerankSchema.parse(await readJsonResponse(response));
     const documents = this.state.documents ?? [];
     const ranked = answer.results.map(({index}) => documents.at(index));
     this.state.documents = ranked.filter(document => document !== undefined);
   }
 
   getRemainingUnits(): number {
-    return 1 + this.state.input.length / CHARACTERS_PER_WORK;
+    return 1 + this.state.input.length / CHARACTERS_PER_WORK_UNIT;
   }
 }
 
@@ -169,7 +169,7 @@
     return createJsonCall('/v1/completions', {
       model: this.pipeline.adapter ?? this.pipeline.model,
       prompt: this.prompt + this.received.join(''),
-      max_tokens: this.countMissing(),
+      max_tokens: this.countRemainingTokens(),
       stream: true,
       priority: this.priority,
     });
@@ -178,13 +178,13 @@
   async readResponse(response: HttpResponse): Promise<void> {
     if (response.status !== OK) throw await createStatusError(response);
     for await (const batch of readServerSentEvents(response.body)) {
-      if (this.takeBatch(batch)) return;
+      if (this.addBatch(batch)) return;
     }
     throw new AttemptError('broken', 'the stream ended without its end marker');
   }
 
   getRemainingUnits(): number {
-    return this.countMissing() / TOKENS_PER_WORK_UNIT;
+    return this.countRemainingTokens() / TOKENS_PER_WORK_UNIT;
   }
 
   override getModel(): string {
@@ -198,22 +198,22 @@
   // An engine may answer fewer tokens than it was asked for, but a resumed one
   // always has one left to give: a stream cut after its last token and before
   // its end marker has all its tokens.
-  private countMissing(): number {
+  private countRemainingTokens(): number {
     return Math.max(1, this.pipeline.maxTokens - this.received.length);
   }
 
   // Tokens past the limit come when a stream was cut right before its end
   // marker: the caller has all of them already.
-  private takeBatch(batch: readonly string[]): boolean {
+  private addBatch(batch: readonly string[]): boolean {
     const tokens: string[] = [];
     let isEnd = false;
     for (const data of batch) {
       isEnd ||= data === END_MARKER;
       if (isEnd) break;
       const chunk = chunkSchema.parse(JSON.parse(data));
-      const isOver =
+      const isOverLimit =
         this.received.length + tokens.length >= this.pipeline.maxTokens;
-      if (!isOver) tokens.push(chunk.choices[0].text);
+      if (!isOverLimit) tokens.push(chunk.choices[0].text);
     }
     this.received.push(...tokens);
     if (tokens.length > 0) this.sink.pushTokens(tokens);
@@ -236,19 +236,19 @@
   };
 }
 
-async function readWholeJson(response: HttpResponse): Promise<unknown> {
+async function readJsonResponse(response: HttpResponse): Promise<unknown> {
   if (response.status !== OK) throw await createStatusError(response);
   const body = await readBody(response.body);
   return JSON.parse(body.toString('utf8'));
 }
 
 /** Characters of an upstream's failure that an error shows. */
-const SHOWN_CHARACTERS = 200;
+const MAX_ERROR_BODY_CHARACTERS = 200;
 
 async function createStatusError(
   response: HttpResponse,
 ): Promise<AttemptError> {
   const body = await readBody(response.body);
-  const text = body.toString('utf8').slice(0, SHOWN_CHARACTERS);
+  const text = body.toString('utf8').slice(0, MAX_ERROR_BODY_CHARACTERS);
   return new AttemptError('broken', `status ${response.status}: ${text}`);
 }
--- a/packages/pipeline/src/tracked-upstream.ts
+++ b/packages/pipeline/src/tracked-upstream.ts
@@ -55,11 +55,11 @@
 /** Returns whether work was done between two reports. */
 export function hasProgressed(
   before: LoadReport | undefined,
-  now: LoadReport,
+  current: LoadReport,
 ): boolean {
-  if (before?.workDone === undefined || now.workDone === undefined)
+  if (before?.workDone === undefined || current.workDone === undefined)
     return false;
   // A report that lags may be the same one again; it says nothing new.
-  if (before.atMs === now.atMs) return now.running > 0;
-  return now.workDone > before.workDone;
+  if (before.atMs === current.atMs) return current.running > 0;
+  return current.workDone > before.workDone;
 }
--- a/packages/pipeline/src/upstream-group.ts
+++ b/packages/pipeline/src/upstream-group.ts
@@ -38,11 +38,11 @@
 /** Characters that one block of an engine's prefix cache covers. */
 const CACHE_BLOCK_CHARACTERS = 64;
 /** Milliseconds that a report without a time of its own may lag. */
-const ASSUMED_LAG_MS = 5000;
+const ASSUMED_REPORT_LAG_MS = 5000;
 /** Milliseconds for which a report counts as fresh. */
-const FRESH_REPORT_MS = 2500;
+const MAX_FRESH_REPORT_AGE_MS = 2500;
 /** Share of a request's time that a wholly cached prompt saves. */
-const CACHE_SAVING = 0.5;
+const CACHED_PROMPT_SAVING_SHARE = 0.5;
 
 /** The upstreams of one pool or service with all that this instance knows of them. */
 export class UpstreamGroup {
@@ -119,12 +119,12 @@
     excluded: ReadonlySet<string>,
   ): Candidate[] {
     const nowMs = this.clock.getNow();
-    const able = [...this.tracked.values()].filter(
+    const eligible = [...this.tracked.values()].filter(
       ({health, models}) =>
         isCandidate(health, nowMs) && hasModel(models, work.model),
     );
-    const untried = able.filter(({upstream}) => !excluded.has(upstream.id));
-    const chosen = untried.length > 0 ? untried : able;
+    const untried = eligible.filter(({upstream}) => !excluded.has(upstream.id));
+    const chosen = untried.length > 0 ? untried : eligible;
     return chosen.map(tracked => ({
       id: tracked.upstream.id,
       ownInFlight: tracked.load.ownInFlight,
@@ -142,7 +142,7 @@
   /** Predicts the time for a piece of work at an upstream without other load. */
   predictUnloadedMs(work: RoutableWork): number {
     const defaultMs = this.settings.expectedMs * work.units;
-    return this.durations.getMeanMs(getEmptyKey(work), defaultMs);
+    return this.durations.getMeanMs(getUnloadedKey(work), defaultMs);
   }
 
   /**
@@ -171,9 +171,9 @@
     durationMs: number,
     occupancy: number,
   ): void {
-    const emptyMs = durationMs / (1 + occupancy);
-    const slowness = emptyMs / Math.max(1, this.predictUnloadedMs(work));
-    this.durations.recordMs(getEmptyKey(work), emptyMs);
+    const unloadedMs = durationMs / (1 + occupancy);
+    const slowness = unloadedMs / Math.max(1, this.predictUnloadedMs(work));
+    this.durations.recordMs(getUnloadedKey(work), unloadedMs);
     this.applyChange(id, tracked => {
       tracked.load = recordSlowness(recordCompletion(tracked.load), slowness);
       tracked.health = recordSuccess(tracked.health, this.clock.getNow());
@@ -203,7 +203,7 @@
     const received = this.tracked.get(id)?.report;
     if (!received) return false;
     const ageMs = this.clock.getNow() - received.receivedAtMs;
-    return received.isProgressing && ageMs <= FRESH_REPORT_MS;
+    return received.isProgressing && ageMs <= MAX_FRESH_REPORT_AGE_MS;
   }
 
   /** Work failed at an upstream. */
@@ -252,13 +252,13 @@
   /**
    * An upstream refused work because it is leaving or full.
    *
-   * @param forMs Milliseconds for which it wants none, 0 where it named no time.
+   * @param backOffMs Milliseconds for which it wants none, 0 where it named no time.
    */
-  recordNotRun(id: string, forMs: number): void {
+  recordNotRun(id: string, backOffMs: number): void {
     this.applyChange(id, tracked => {
       tracked.load = recordCompletion(tracked.load);
       const nowMs = this.clock.getNow();
-      tracked.health = recordBackOff(tracked.health, forMs, nowMs);
+      tracked.health = recordBackOff(tracked.health, backOffMs, nowMs);
     });
   }
 
@@ -282,12 +282,14 @@
       };
       if (report.models) tracked.models = report.models;
       const isLeaving = report.state === 'leaving' || tracked.isListedLeaving;
-      const reportAtMs = report.atMs ?? nowMs - ASSUMED_LAG_MS;
+      const reportAtMs = report.atMs ?? nowMs - ASSUMED_REPORT_LAG_MS;
       tracked.health = isLeaving
         ? recordLeaving(tracked.health, nowMs)
         : recordLiveReport(tracked.health, this.policy, reportAtMs, nowMs);
     });
-    this.slotQueue.recordReportedQueue(this.getReportedQueue());
+    this.slotQueue.recordReportedQueuedPerSlot(
+      this.computeReportedQueuedPerSlot(),
+    );
   }
 
   /** Cache events arrived. */
@@ -300,7 +302,7 @@
     return this.tracked.get(id)?.cache.getLastSequence() ?? 0;
   }
 
-  private getReportedQueue(): number {
+  private computeReportedQueuedPerSlot(): number {
     const reports = [...this.tracked.values()]
       .map(({report}) => report?.report)
       .filter(report => report !== undefined);
@@ -310,9 +312,9 @@
   }
 
   private addUpstream(upstream: Upstream): void {
-    const known = this.tracked.get(upstream.id);
-    if (known && known.upstream.address === upstream.address) {
-      known.upstream = upstream;
+    const existing = this.tracked.get(upstream.id);
+    if (existing && existing.upstream.address === upstream.address) {
+      existing.upstream = upstream;
       return;
     }
     this.tracked.set(upstream.id, createTrackedUpstream(upstream));
@@ -325,8 +327,8 @@
   ): number {
     const {load, health, cache} = tracked;
     const {slots} = this.settings;
-    const emptyMs = this.predictUnloadedMs(work);
-    const loadedMs = predictDurationMs(load, emptyMs, slots);
+    const unloadedMs = this.predictUnloadedMs(work);
+    const loadedMs = predictDurationMs(load, unloadedMs, slots);
     const startFactor = getSlowStartFactor(health, this.policy, nowMs);
     const {prompt} = work;
     if (prompt === undefined || prompt.length === 0) {
@@ -336,7 +338,7 @@
       prompt,
       CACHE_BLOCK_CHARACTERS,
     );
-    const saving = CACHE_SAVING * (cached / prompt.length);
+    const saving = CACHED_PROMPT_SAVING_SHARE * (cached / prompt.length);
     return (loadedMs * (1 - saving)) / startFactor;
   }
 
@@ -369,15 +371,15 @@
 // Each instance begins with one and a half even parts of the pool, since
 // callers rarely spread evenly; the adaptive limit corrects it from there.
 function createBounds(settings: GroupSettings, instanceCount: number) {
-  const places = settings.upstreams.length * settings.slots;
-  const evenPart = places / Math.max(1, instanceCount);
+  const totalSlots = settings.upstreams.length * settings.slots;
+  const evenShare = totalSlots / Math.max(1, instanceCount);
   return {
-    initial: Math.max(1, Math.ceil(evenPart * 1.5)),
-    min: Math.max(1, Math.floor(evenPart / 4)),
-    max: Math.max(1, places),
+    initial: Math.max(1, Math.ceil(evenShare * 1.5)),
+    min: Math.max(1, Math.floor(evenShare / 4)),
+    max: Math.max(1, totalSlots),
   };
 }
 
-function getEmptyKey({classKey}: RoutableWork): string {
+function getUnloadedKey({classKey}: RoutableWork): string {
   return `${classKey}/empty`;
 }
--- a/scripts/proofs.ts
+++ b/scripts/proofs.ts
@@ -97,7 +97,7 @@
     promise: 'a planned stop cuts no request',
     mechanism: 'the process stays until its requests have ended',
     file: 'packages/entry/src/daemon.ts',
-    from: 'const isClean = await Promise.race([isIdle, isLate]);',
+    from: 'const isClean = await Promise.race([requestsEnded, limitReached]);',
     to: 'const isClean = true;',
     noticedBy: 1,
   },
