--- a/packages/entry/src/create-daemon.ts
+++ b/packages/entry/src/create-daemon.ts
@@ -36,7 +36,7 @@
 import {Lifecycle} from './lifecycle.ts';
 import {OperatorEndpoint} from './operator-endpoint.ts';
 import {PauseGuard} from './pause-guard.ts';
-import {PeerRequestHandler} from './peer-requests.ts';
+import {PeerRequestHandler} from './peer-request-handler.ts';
 import {listManagedPools} from './managed-pools.ts';
 import {PipelineEndpoint} from './pipeline-endpoint.ts';
 import {ProbeEndpoint} from './probe-endpoint.ts';
