--- a/packages/pipeline/src/attempt-error.ts
+++ b/packages/pipeline/src/attempt-error.ts
@@ -1,24 +1,27 @@
 /**
  * How an attempt failed.
- * refused: no connection; not-run: the upstream says it did not run it;
- * silent: no byte for too long; crossed: another request's answer;
- * broken: failed or broke off; given-up: this side stopped it.
+ * refused: no connection was established;
+ * not-run: the upstream reports that it did not run the call;
+ * silent: no byte arrived within the time-out;
+ * crossed: the response belongs to another attempt;
+ * broken: the upstream failed, or the response was cut off or unreadable;
+ * given-up: this instance cancelled the attempt.
  */
 export type AttemptFailure =
   'refused' | 'not-run' | 'silent' | 'crossed' | 'broken' | 'given-up';
 
-/** What else is known of a failed attempt. */
+/** Optional details of a failed attempt. */
 export interface AttemptErrorOptions {
   readonly cause?: unknown;
-  /** Whether no byte of the call has left this instance. */
+  /** Whether this instance sent no byte of the call. */
   readonly isUnsent?: boolean;
   readonly retryAfterMs?: number;
 }
 
-/** An attempt at an upstream that brought no whole answer. */
+/** Failure of an attempt that got no complete response from an upstream. */
 export class AttemptError extends Error {
   readonly failure: AttemptFailure;
-  /** Milliseconds for which the upstream wants no work; undefined where it named none. */
+  /** Back-off in milliseconds that the upstream asked for; undefined if it named none. */
   readonly retryAfterMs: number | undefined;
   private readonly isUnsent: boolean;
 
@@ -34,7 +37,7 @@
     this.retryAfterMs = retryAfterMs;
   }
 
-  /** Whether the upstream may have begun the work. */
+  /** Returns whether the upstream may have begun the work. */
   mayHaveRun(): boolean {
     if (this.isUnsent) return false;
     return this.failure !== 'refused' && this.failure !== 'not-run';
--- a/packages/pipeline/src/attempt.test.ts
+++ b/packages/pipeline/src/attempt.test.ts
@@ -16,7 +16,8 @@
   body: new Uint8Array(0),
 };
 
-// Worked out from durations, it is no number that the clock itself can show.
+// Time-outs are computed from measured durations, so their fractions may lie
+// below the resolution of the clock's timestamps.
 const SILENCE_MS = 250.1234;
 
 class QueueClient extends HttpClient {
@@ -54,7 +55,7 @@
   );
 }
 
-test('a rest of silence too small to move the clock does not check for ever', async () => {
+test('a remaining time-out below the resolution of the clock does not make the check loop forever', async () => {
   for (let offsetMs = 0.01; offsetMs < 3; offsetMs += 0.0371) {
     const clock = new ManualClock(1_800_000_000_000.3333);
     const client = new QueueClient();
@@ -81,7 +82,7 @@
   }
 }
 
-test('a refusal tells for how long the upstream wants no work, bounded, if it can be read', async () => {
+test('a refusal carries the bounded back-off of its retry-after header, or none if the header is unreadable', async () => {
   const cases = [
     ['2.5', 2500],
     ['86400', 60_000],
@@ -103,7 +104,7 @@
   }
 });
 
-test('work that waits at an upstream which answers others is not given up', async () => {
+test('an attempt that waits at an upstream which answers other requests is not cancelled', async () => {
   const clock = new ManualClock();
   const client = new QueueClient();
   const answer = readAnswer(clock, client, () => clock.getNow());
--- a/packages/pipeline/src/attempt.ts
+++ b/packages/pipeline/src/attempt.ts
@@ -20,15 +20,16 @@
 }
 
 /**
- * Header that carries the attempt's id; an upstream that echoes it is checked.
+ * Header that carries the attempt's id. If the response echoes it, the ids are
+ * compared.
  */
 export const ATTEMPT_ID_HEADER = 'x-attempt-id';
 /** Header that carries the request's id. */
 export const REQUEST_ID_HEADER = 'x-request-id';
-/** Header by which an upstream says that it did not run what it refuses. */
+/** Response header of an upstream that refused a call without running it. */
 const NOT_RUN_HEADER = 'x-not-run';
 
-/** Header by which it says for how many seconds it wants no work. */
+/** Response header that names an upstream's back-off. */
 const RETRY_AFTER_HEADER = 'retry-after';
 
 /** HTTP status. */
@@ -36,19 +37,19 @@
 /** HTTP status. */
 const SERVICE_UNAVAILABLE = 503;
 
-/** What an attempt needs to know of its upstream, and tells of it. */
+/** Connects an attempt with the activity that is recorded for its upstream. */
 export interface AttemptMonitor {
-  /** Milliseconds without a byte from the upstream after which to give up. */
+  /** Milliseconds without activity of the upstream after which the attempt is cancelled. */
   readonly silenceMs: number;
-  /** Returns when the upstream last gave a sign of being at work. */
+  /** Returns the time of the upstream's last activity, in milliseconds since the epoch. */
   getLastActivityAtMs(): number;
-  /** Called for each chunk. */
+  /** Records a chunk of the response body. */
   recordChunk(): void;
 }
 
 /**
- * One attempt: sends a call and passes its answer on, unless the upstream
- * falls silent.
+ * One attempt: sends a call and streams its response. Cancels itself if the
+ * upstream shows no activity for too long.
  */
 export class Attempt {
   private readonly client: HttpClient;
@@ -66,7 +67,7 @@
   private timer: Timer;
 
   /**
-   * @param parent Gives the attempt up when it aborts.
+   * @param parent Cancels the attempt when it aborts.
    */
   constructor(
     client: HttpClient,
@@ -87,7 +88,11 @@
     if (parent.aborted) this.cancelWithParent();
   }
 
-  /** Sends the call; resolves with an answer whose body fails with AttemptError too. */
+  /**
+   * Sends the call and resolves once the head of the response has arrived.
+   *
+   * @throws AttemptError Reading the body of the response may throw it as well.
+   */
   async send(address: string, call: UpstreamCall): Promise<HttpResponse> {
     try {
       const response = await this.client.send(address, {
@@ -104,14 +109,14 @@
   }
 
   /**
-   * Returns milliseconds until the first byte of the body; undefined before it.
-   * The head tells nothing: engines send it before they begin.
+   * Returns the milliseconds until the first byte of the body; undefined before
+   * it arrived. The head does not count: engines send it before they begin work.
    */
   getFirstByteMs(): number | undefined {
     return this.firstByteMs;
   }
 
-  /** Ends the attempt; an answer still under way is cut off. */
+  /** Ends the attempt and aborts a response that is still arriving. */
   close(): void {
     this.timer.cancel();
     this.parent.removeEventListener('abort', this.cancelWithParent);
@@ -150,8 +155,8 @@
     if (this.failure) throw this.failure;
   }
 
-  // One timer per attempt that looks at the time of the last byte; one per
-  // chunk would cost more than the relay of the chunk itself.
+  // Uses one timer per attempt that checks the time of the last byte. A timer
+  // per chunk would cost more than relaying the chunk itself.
   private scheduleCheck(delayMs: number): Timer {
     return this.clock.schedule(delayMs, () => {
       const {silenceMs} = this.monitor;
@@ -164,14 +169,14 @@
         );
         return;
       }
-      // At least a millisecond: a rest too small to move the clock's number on
-      // would be checked for ever.
+      // Waits at least 1 ms: a remainder below the clock's floating-point
+      // resolution would not advance the time, and the check would loop forever.
       this.timer = this.scheduleCheck(Math.max(1, silenceMs - inactivityMs));
     });
   }
 
-  // An upstream that answers others is not stuck: what is silent here waits
-  // in its queue, and sending it elsewhere would only add to the load.
+  // An upstream that answers other requests is not stuck: this call waits in
+  // its queue, and a retry elsewhere would only add load.
   private getInactivityMs(ownInactivityMs: number): number {
     const sinceActivityMs =
       this.clock.getNow() - this.monitor.getLastActivityAtMs();
@@ -201,7 +206,7 @@
   }
 }
 
-// What cannot be read counts as nothing named; the refusal itself is logged.
+// An unreadable value counts as no back-off; the refusal itself is logged.
 function readRetryAfterMs(headers: HttpHeaders): number | undefined {
   const requestedMs = parseRetryAfterMs(headers[RETRY_AFTER_HEADER] ?? '');
   if (requestedMs === undefined) return undefined;
--- a/packages/pipeline/src/group-directory.ts
+++ b/packages/pipeline/src/group-directory.ts
@@ -9,19 +9,22 @@
 import type {GroupSettings} from './group-settings.ts';
 import {UpstreamGroup} from './upstream-group.ts';
 
-/** What the directory needs to know beside the configuration. */
+/** What the directory needs beside the configuration. */
 export interface GroupDirectoryOptions {
   readonly instanceId: string;
   /** Most upstreams of one pool that this instance uses. */
   readonly subsetSize: number;
-  /** Returns how many instances are live, this one counted. */
+  /** Returns the number of live instances, including this one. */
   readonly getInstanceCount: () => number;
   readonly healthPolicy?: HealthPolicy;
-  /** Whether limits adapt to what is observed. */
+  /** Whether concurrency limits adapt to the observed load. */
   readonly adaptLimits: boolean;
 }
 
-/** All pools and services, by name; outlives each single configuration. */
+/**
+ * All pools and services by name. A group keeps its state when the
+ * configuration changes.
+ */
 export class GroupDirectory {
   private readonly clock: Clock;
   private readonly logger: EventLogger;
@@ -39,7 +42,7 @@
     this.options = options;
   }
 
-  /** Takes the pools and services of a newer configuration. */
+  /** Applies the pools and services of a newer configuration; drops groups that it lacks. */
   setConfiguration(pools: readonly Pool[], services: readonly Service[]): void {
     this.setGroups(this.pools, pools.map(createPoolSettings));
     this.setGroups(this.services, services.map(createServiceSettings));
--- a/packages/pipeline/src/group-runner.ts
+++ b/packages/pipeline/src/group-runner.ts
@@ -18,14 +18,14 @@
 } from './group-work.ts';
 
 /**
- * Multiple of the usual time to the first byte after which silence is a
- * failure.
+ * Multiple of the mean time to the first byte after which an attempt without
+ * activity fails.
  */
 const SILENCE_TIMEOUT_FACTOR = 4;
-/** Milliseconds of silence that no upstream is blamed for. */
+/** Lower bound in milliseconds of the time-out that adapts to durations. */
 const MIN_SILENCE_TIMEOUT_MS = 250;
 
-/** Runs a piece of work at one upstream after the other until it is whole. */
+/** Runs the work of a stage, with retries at other upstreams, until one completes it. */
 export class GroupRunner {
   private readonly parts: GroupRunnerParts;
 
@@ -33,7 +33,7 @@
     this.parts = parts;
   }
 
-  /** @throws HollowstackError that ends the request. */
+  /** @throws HollowstackError if the work is refused or no further retry is allowed. */
   async runWork(
     group: UpstreamGroup,
     work: GroupWork,
@@ -277,8 +277,8 @@
         group.recordFailure(upstream, 'broken');
       })
       .with('silent', () => {
-        // Work that waited in vain at an upstream which does its work says
-        // that it is full, not that it is stuck.
+        // If the upstream reports progress, it is full rather than stuck, so
+        // the time-out does not count against its health.
         if (group.isProgressing(upstream)) group.recordCancelled(upstream);
         else group.recordFailure(upstream, 'broken');
       })
@@ -303,7 +303,8 @@
       leftMs: context.getLeftMs(),
       predictedMs: group.predictBestMs(toRoutableWork(work, context)) ?? 0,
     });
-    // The budget keeps retries from multiplying load; what did not run is none.
+    // The budget keeps retries from multiplying load. A retry of work that did
+    // not run adds none, so it is not charged.
     const isAllowed =
       verdict === 'retry' &&
       (!error.mayHaveRun() || group.retryBudget.acquireRetry());
@@ -331,8 +332,8 @@
     return new HollowstackError(kind, message, {cause: error});
   }
 
-  // A wedged upstream is found by how long others took, well before the pool's
-  // own bound, or no time would be left to go elsewhere.
+  // The mean time to the first byte reveals a stuck upstream well before the
+  // pool's own limit, while there is still time for a retry elsewhere.
   private computeSilenceTimeoutMs(
     group: UpstreamGroup,
     work: GroupWork,
--- a/packages/pipeline/src/group-settings.ts
+++ b/packages/pipeline/src/group-settings.ts
@@ -1,44 +1,44 @@
 import type {HealthPolicy, HealthState} from '@hollowstack/routing';
 import type {Upstream} from '@hollowstack/types';
 
-/** What the configuration says of a pool or service. */
+/** Configuration of a pool or service. */
 export interface GroupSettings {
   readonly name: string;
   readonly upstreams: readonly Upstream[];
-  /** Requests that one upstream works on at the same time. */
+  /** Requests that one upstream processes concurrently. */
   readonly slots: number;
   /** Milliseconds one unit of work is expected to take. */
   readonly expectedMs: number;
-  /** Milliseconds without a byte after which an attempt is given up at the latest. */
+  /** Upper bound in milliseconds of an attempt's time-out for inactivity. */
   readonly silenceMs: number;
 }
 
-/** One upstream as operators are shown it. */
+/** State of one upstream as the status command shows it. */
 export interface UpstreamStatus {
   readonly id: string;
   readonly address: string;
   readonly failureDomain: string;
   readonly state: HealthState['state'];
   readonly ownInFlight: number;
-  /** Models it reports to hold; undefined before its first report. */
+  /** Models that the upstream reports as loaded; undefined before its first report. */
   readonly models: readonly string[] | undefined;
-  /** How much slower it is than others; 1 for alike. */
+  /** Ratio of its durations, without the effect of load, to the mean of the group. */
   readonly slowness: number;
 }
 
-/** A piece of work as far as its placing goes. */
+/** Properties of a stage's work that matter for the choice of an upstream. */
 export interface RoutableWork {
-  /** Work of one class takes about as long each time. */
+  /** Key of the duration estimates; work with the same key takes about the same time. */
   readonly classKey: string;
-  /** Size where nothing was measured yet, in units of one expected request. */
+  /** Size in units of one expected request; used until durations were measured. */
   readonly units: number;
-  /** Model that the upstream must hold; undefined for any. */
+  /** Model that the upstream must have loaded; undefined if none is required. */
   readonly model: string | undefined;
   /** Text whose prefix the upstream may have cached. */
   readonly prompt: string | undefined;
 }
 
-/** How a group decides. */
+/** Policies of a group for health and concurrency limits. */
 export interface GroupPolicy {
   readonly healthPolicy: HealthPolicy;
   readonly adaptLimits: boolean;
--- a/packages/pipeline/src/group-work.ts
+++ b/packages/pipeline/src/group-work.ts
@@ -7,15 +7,15 @@
 import type {RequestContext} from './request-context.ts';
 import type {StageCall} from './stage-call.ts';
 
-/** Which decisions a runner takes; without one it is a baseline. */
+/** Optional decisions of a runner; baselines switch them off. */
 export interface RunnerPolicy {
-  /** Refuses work whose predicted finish lies behind its deadline. */
+  /** Refuses work whose predicted finish is after its deadline. */
   readonly refuseDoomed: boolean;
-  /** Gives an attempt up when it is silent for longer than usual. */
+  /** Cancels an attempt early if its upstream is inactive for longer than usual. */
   readonly adaptSilence: boolean;
 }
 
-/** What a runner works with. */
+/** Dependencies of a runner. */
 export interface GroupRunnerParts {
   readonly client: HttpClient;
   readonly clock: Clock;
@@ -23,36 +23,36 @@
   readonly metrics: MetricsRegistry;
   readonly logger: EventLogger;
   readonly policy: RunnerPolicy;
-  /** Resolves once what is known of upstreams may be trusted. */
+  /** Resolves once the list of upstreams is not stale after a pause of the process. */
   readonly waitUntilFresh: () => Promise<void>;
 }
 
-/** One piece of work for a group. */
+/** Work of one stage for the upstreams of a group. */
 export interface GroupWork {
   readonly stage: string;
   readonly call: StageCall;
   readonly isRepeatable: boolean;
-  /** Predicted milliseconds of the stages behind this one. */
+  /** Predicted milliseconds of the stages after this one. */
   readonly laterStagesMs: number;
 }
 
-/** How a piece of work was done. */
+/** Result of completed work. */
 export interface GroupOutcome {
   readonly upstream: string;
   readonly attempts: number;
   readonly waitedMs: number;
 }
 
-/** How far a request's attempts go, by what its workspace weighs more. */
+/** Limits of a request's attempts under the objective of its workspace. */
 export interface ObjectivePolicy {
   readonly maxAttempts: number;
-  /** Share of a predicted duration that must fit into the time left. */
+  /** Share of the predicted duration that must fit into the time left. */
   readonly requiredShare: number;
 }
 
 /**
- * Attainment tries a request that will probably be late; cost spends nothing
- * on one that is not likely to make it.
+ * Policy of each objective. `attainment` runs a request that will probably be
+ * late; `cost` refuses one that is unlikely to meet its deadline.
  */
 export const OBJECTIVE_POLICIES: Readonly<
   Record<'attainment' | 'cost', ObjectivePolicy>
@@ -61,18 +61,15 @@
   cost: {maxAttempts: 2, requiredShare: 0.95},
 };
 
-/**
- * Characters at the beginning of a prompt that name its home; enough to tell
- * templates apart.
- */
+/** Characters at the start of a prompt that form its affinity key; enough to distinguish templates. */
 const AFFINITY_PREFIX_CHARACTERS = 128;
 
-/** Returns the key of prompts that begin alike: they share cache blocks. */
+/** Returns a key that prompts with the same prefix share, since they share cache blocks. */
 export function getAffinityKey(prompt: string): string {
   return prompt.slice(0, AFFINITY_PREFIX_CHARACTERS);
 }
 
-/** Returns what matters of a piece of work for its placing. */
+/** Returns the properties of the work that matter for the choice of an upstream. */
 export function toRoutableWork(
   {stage, call}: GroupWork,
   {identity}: RequestContext,
@@ -85,7 +82,7 @@
   };
 }
 
-/** Returns the key under which times to the first byte are kept. */
+/** Returns the key of the estimates of the time to the first byte. */
 export function getFirstByteKey(
   work: GroupWork,
   context: RequestContext,
--- a/packages/pipeline/src/index.ts
+++ b/packages/pipeline/src/index.ts
@@ -1,4 +1,4 @@
-/** Runs requests: pipelines through their stages, and calls of plain services. */
+/** Runs requests: pipelines with their stages, and calls to plain services. */
 export {PipelineRunner, type PipelineRequest} from './pipeline-runner.ts';
 export {
   ServiceRunner,
--- a/packages/pipeline/src/load-poller.ts
+++ b/packages/pipeline/src/load-poller.ts
@@ -14,8 +14,8 @@
 import type {UpstreamGroup} from './upstream-group.ts';
 
 /**
- * Milliseconds for an upstream's report; an older one says nothing of its
- * load.
+ * Milliseconds for one call to an upstream. A later report no longer describes
+ * its current load.
  */
 const REPORT_TIMEOUT_MS = 800;
 /** HTTP status. */
@@ -23,7 +23,7 @@
 
 const cacheEventsSchema = z.object({events: z.array(cacheEventSchema)});
 
-/** Reads load reports and cache events from this instance's upstreams. */
+/** Polls load reports and cache events of this instance's upstreams. */
 export class LoadPoller {
   private readonly groups: GroupDirectory;
   private readonly client: HttpClient;
@@ -31,7 +31,7 @@
   private readonly task: RepeatingTask;
   private readonly abortController = new AbortController();
 
-  /** @param pollMs Milliseconds between two readings of each upstream. */
+  /** @param pollMs Milliseconds between two polls of each upstream. */
   constructor(
     groups: GroupDirectory,
     client: HttpClient,
@@ -69,8 +69,8 @@
     await Promise.all(polls);
   }
 
-  // Services need not report; an upstream that does not answer is judged by
-  // the work it fails, not by its reports.
+  // Services need not report their load. An upstream that does not answer the
+  // poll stays a candidate; only failed attempts count against it.
   private async pollUpstream(
     group: UpstreamGroup,
     upstream: Upstream,
--- a/packages/pipeline/src/pipeline-runner.ts
+++ b/packages/pipeline/src/pipeline-runner.ts
@@ -12,7 +12,7 @@
 } from './stage-calls.ts';
 import type {UpstreamGroup} from './upstream-group.ts';
 
-/** What a pipeline is asked for. */
+/** Input of a pipeline run. */
 export interface PipelineRequest {
   readonly template: Template;
   readonly pipeline: WorkspacePipeline;
@@ -32,9 +32,9 @@
   }
 
   /**
-   * Runs all stages; generated text goes to the sink as it comes.
+   * Runs all stages; generated text is pushed to the sink as it arrives.
    *
-   * @throws HollowstackError that ends the request.
+   * @throws HollowstackError if a stage fails or is refused.
    */
   async runPipeline(
     request: PipelineRequest,
@@ -134,11 +134,12 @@
   }
 }
 
-/** What work that ran out of its deadline would have taken, over what it got. */
+/** Assumed ratio of the full duration of unfinished work to the time it ran. */
 const UNFINISHED_DURATION_FACTOR = 1.3;
 
-// Were only finished work to count, a class of which one in ten makes it would
-// look as if all could.
+// Counts work that exceeded its deadline as well. If only finished work
+// counted, a class that rarely meets its deadline would look as if it always
+// could.
 function recordUnfinished(
   group: UpstreamGroup,
   stage: Stage,
--- a/packages/pipeline/src/pool-slot-queue.ts
+++ b/packages/pipeline/src/pool-slot-queue.ts
@@ -9,16 +9,16 @@
 import type {Clock, Timer} from '@hollowstack/clock';
 import {HollowstackError} from '@hollowstack/errors';
 
-/** A place in a pool; to be released once the attempt is over. */
+/** A concurrency slot of a pool; it must be released when the attempt has ended. */
 export interface PoolSlot {
-  /** Milliseconds that the work waited for it. */
+  /** Milliseconds that the work waited for the slot. */
   readonly waitedMs: number;
   release(): void;
 }
 
-/** Work that asks for a place. */
+/** Request for a slot. */
 export interface SlotRequest extends WaitingWork {
-  /** Milliseconds since the epoch after which beginning makes no sense. */
+  /** Milliseconds since the epoch; work that starts later cannot meet its deadline. */
   readonly latestStartMs: number;
 }
 
@@ -29,12 +29,12 @@
   timer: Timer | undefined;
 }
 
-// As long as reports take to tell of the last change.
+// Load reports take about this long to reflect the last change of the limit.
 const SAMPLE_INTERVAL_MS = 1000;
-/** Requests that may wait for one group of upstreams; a bound on memory. */
+/** Requests that may wait for one group of upstreams; bounds memory. */
 const MAX_WAITING_REQUESTS = 2000;
 
-/** Gives out the places that this instance has in one pool. */
+/** Queues work for the concurrency slots that this instance has in one pool. */
 export class PoolSlotQueue implements InServiceCount {
   private readonly clock: Clock;
   private readonly limit: AdaptiveLimit;
@@ -47,7 +47,7 @@
   private wasRefused = false;
   private reportedQueuedPerSlot = 0;
 
-  /** @param isAdaptive Whether the limit moves; a baseline keeps it still. */
+  /** @param isAdaptive Whether the limit adapts; baselines use a fixed one. */
   constructor(
     clock: Clock,
     options: AdaptiveLimitOptions,
@@ -70,7 +70,7 @@
     return this.limit.getLimit();
   }
 
-  /** Returns how many waiting pieces of work go before one of this priority. */
+  /** Returns how many waiting requests precede a new one of this priority. */
   countAhead(priority: number): number {
     return this.waiting.filter(waiter => waiter.priority <= priority).length;
   }
@@ -81,10 +81,10 @@
   }
 
   /**
-   * Waits for a place.
+   * Waits for a slot.
    *
-   * @throws HollowstackError `overloaded` where too many wait, or
-   *   `deadline-unreachable` once the latest start has passed.
+   * @throws HollowstackError `overloaded` if too many requests wait, or
+   *   `deadline-unreachable` when the latest start has passed.
    */
   acquireSlot(request: SlotRequest, signal: AbortSignal): Promise<PoolSlot> {
     if (signal.aborted) return Promise.reject(signal.reason);
@@ -121,12 +121,12 @@
     });
   }
 
-  /** Tells how long the upstreams' queues are, for each request they can work on. */
+  /** Records the requests in the upstreams' own queues, divided by their slots. */
   recordReportedQueuedPerSlot(reportedQueuedPerSlot: number): void {
     this.reportedQueuedPerSlot = reportedQueuedPerSlot;
   }
 
-  /** Tells that an upstream refused work as overloaded. */
+  /** Records that an upstream refused work because it is overloaded. */
   recordRefusal(): void {
     this.wasRefused = true;
   }
--- a/packages/pipeline/src/request-context.ts
+++ b/packages/pipeline/src/request-context.ts
@@ -1,24 +1,24 @@
 import type {Clock} from '@hollowstack/clock';
 import type {RequestDecisions} from '@hollowstack/decisions';
 
-/** Who asks for what, by when. */
+/** Caller, target, priority and deadline of a request. */
 export interface RequestIdentity {
   readonly requestId: string;
   readonly workspace: string;
-  /** Pipeline or service. */
+  /** Name of the pipeline or service. */
   readonly target: string;
-  /** 0 goes first. */
+  /** 0 is the highest priority. */
   readonly priority: number;
   /** Milliseconds since the epoch. */
   readonly deadlineMs: number;
-  /** What the workspace weighs more where both cannot be had. */
+  /** Which of the two the workspace prefers if it cannot have both. */
   readonly objective: 'attainment' | 'cost';
 }
 
-/** One request on its way: its identity, its end, and what was decided about it. */
+/** State of one request: its identity, its abort signal and the decisions about it. */
 export class RequestContext {
   readonly identity: RequestIdentity;
-  /** Aborts when the caller is gone or the deadline has passed. */
+  /** Aborts when the caller has disconnected or the deadline has passed. */
   readonly signal: AbortSignal;
   readonly clock: Clock;
   private readonly record: RequestDecisions;
@@ -38,26 +38,30 @@
     this.record = record;
   }
 
-  /** Returns milliseconds left until the deadline. */
+  /** Returns the milliseconds left until the deadline; negative after it. */
   getLeftMs(): number {
     return this.identity.deadlineMs - this.clock.getNow();
   }
 
-  /** Creates an id that no other attempt has. */
+  /** Creates a unique id for the next attempt. */
   createAttemptId(): string {
     this.attemptCount += 1;
     return `${this.identity.requestId}.${this.attemptCount}`;
   }
 
   /**
-   * Notes that an attempt is about to be sent. Until it has ended, the work
-   * counts as begun: the deadline may pass while its bytes are on their way.
+   * Records that an attempt is about to be sent. Until it ends, the work counts
+   * as begun, since the deadline may pass while its bytes are in flight.
    */
   beginAttempt(): void {
     this.openAttempts += 1;
   }
 
-  /** Notes how the attempt ended: whether the upstream may have begun the work. */
+  /**
+   * Records the end of an attempt.
+   *
+   * @param mayHaveRun Whether the upstream may have begun the work.
+   */
   endAttempt(mayHaveRun: boolean): void {
     this.openAttempts -= 1;
     this.hasPossiblyRun ||= mayHaveRun;
@@ -68,7 +72,7 @@
     return this.hasPossiblyRun || this.openAttempts > 0;
   }
 
-  /** Adds a decision to what `why` tells. */
+  /** Records a decision that the `why` command shows. */
   recordDecision(
     stage: string,
     rule: string,
--- a/packages/pipeline/src/result.ts
+++ b/packages/pipeline/src/result.ts
@@ -1,38 +1,38 @@
-/** How one stage went. */
+/** Upstream, attempts and durations of one completed stage. */
 export interface StageTiming {
   readonly stage: string;
   readonly pool: string;
-  /** The upstream that finished it. */
+  /** Upstream that completed the stage. */
   readonly upstream: string;
   readonly attempts: number;
-  /** Milliseconds of waiting for a place. */
+  /** Milliseconds that the stage waited for slots, over all attempts. */
   readonly waitedMs: number;
-  /** Milliseconds from the stage's begin to its end, waiting included. */
+  /** Milliseconds from the start of the stage to its end, including the wait. */
   readonly durationMs: number;
 }
 
-/** A document that a pipeline found. */
+/** A document that a retrieve stage returned. */
 export interface Document {
   readonly id: string;
   readonly text: string;
 }
 
-/** What a pipeline without a generate stage answers; with one, its text streams. */
+/** Result of a pipeline, without generated text, which goes to the sink. */
 export interface PipelineResult {
-  /** Vector of the encode stage, where it came last. */
+  /** Embedding; present if the last stage is encode. */
   readonly embedding?: readonly number[];
-  /** Documents, the best first, where retrieve or rerank came last. */
+  /** Documents, the best first; present if the last stage is retrieve or rerank. */
   readonly documents?: readonly Document[];
   readonly stages: readonly StageTiming[];
 }
 
-/** Takes generated text as it comes. */
+/** Receives generated text as it arrives. */
 export abstract class ResultSink {
-  /** Takes the next tokens; they are whole and in order. */
+  /** Receives the next tokens, in order. */
   abstract pushTokens(tokens: readonly string[]): void;
 }
 
-/** Collects generated text for an answer that is sent whole. */
+/** Collects generated text for an answer that is not streamed. */
 export class CollectingSink extends ResultSink {
   private readonly parts: string[] = [];
 
--- a/packages/pipeline/src/service-runner.ts
+++ b/packages/pipeline/src/service-runner.ts
@@ -12,14 +12,14 @@
 import {StageCall} from './stage-call.ts';
 import {AttemptError} from './attempt-error.ts';
 
-/** A call of a plain service. */
+/** A call to a plain service, which runs as a single stage. */
 export interface ServiceCallRequest {
   readonly service: string;
   readonly call: UpstreamCall;
   readonly isRepeatable: boolean;
 }
 
-/** A plain service's answer, read to its end. */
+/** Complete answer of a plain service. */
 export interface ServiceAnswer {
   readonly status: number;
   readonly headers: HttpHeaders;
@@ -27,10 +27,10 @@
   readonly upstream: string;
 }
 
-/** HTTP status: from here on the upstream has failed. */
+/** Lowest HTTP status that reports a failure of the upstream. */
 const FIRST_SERVER_ERROR_STATUS = 500;
 
-/** Runs calls of plain services. */
+/** Runs calls to plain services. */
 export class ServiceRunner {
   private readonly groups: GroupDirectory;
   private readonly runner: GroupRunner;
@@ -40,7 +40,7 @@
     this.runner = new GroupRunner(parts);
   }
 
-  /** @throws HollowstackError that ends the request. */
+  /** @throws HollowstackError if the service is unknown, or if the call fails or is refused. */
   async runCall(
     request: ServiceCallRequest,
     context: RequestContext,
@@ -82,8 +82,8 @@
   async readResponse(response: HttpResponse): Promise<void> {
     const {status, headers} = response;
     const body = await readBody(response.body);
-    // The service's own word on a call that must not be repeated is the
-    // caller's to read, failures as well.
+    // The answer to a call that must not be repeated goes to the caller, also
+    // if it reports a failure.
     if (status >= FIRST_SERVER_ERROR_STATUS && this.isRepeatable) {
       throw new AttemptError('broken', `status ${status}`);
     }
--- a/packages/pipeline/src/stage-call.ts
+++ b/packages/pipeline/src/stage-call.ts
@@ -1,23 +1,23 @@
 import type {HttpResponse} from '@hollowstack/transport';
 import type {UpstreamCall} from './attempt.ts';
 
-/** The work of one stage as upstream calls; a failed one may be followed by another. */
+/** Work of one stage as calls to upstreams; each retry sends a new call. */
 export abstract class StageCall {
-  /** Creates the call for the next attempt; progress of earlier ones counts. */
+  /** Creates the call of the next attempt, which continues from the progress of earlier ones. */
   abstract createCall(): UpstreamCall;
 
-  /** Reads the answer to its end. @throws AttemptError where it is not whole. */
+  /** Reads the complete answer. @throws AttemptError if it reports a failure or is incomplete. */
   abstract readResponse(response: HttpResponse): Promise<void>;
 
-  /** Returns the size of the work that is left, in units of one expected request. */
+  /** Returns the size of the remaining work, in units of one expected request. */
   abstract getRemainingUnits(): number;
 
-  /** Returns the model that the upstream must hold; undefined for any. */
+  /** Returns the model that the upstream must have loaded; undefined if none is required. */
   getModel(): string | undefined {
     return undefined;
   }
 
-  /** Returns the text whose prefix the upstream may have cached. */
+  /** Returns the prompt, whose prefix the upstream may have cached; undefined if there is none. */
   getPrompt(): string | undefined {
     return undefined;
   }
--- a/packages/pipeline/src/stage-calls.ts
+++ b/packages/pipeline/src/stage-calls.ts
@@ -11,7 +11,7 @@
 import type {Document, ResultSink} from './result.ts';
 import {StageCall} from './stage-call.ts';
 
-/** What the stages of a request hand on to each other. */
+/** Data that the stages of a request pass to later ones. */
 export interface StageState {
   readonly input: string;
   embedding?: readonly number[];
@@ -21,11 +21,11 @@
 /** HTTP status. */
 const OK = 200;
 /**
- * Characters of input that cost as much as a call itself; a guess until
- * durations are learnt.
+ * Characters of input that add one work unit; an assumption that applies until
+ * durations were measured.
  */
 const CHARACTERS_PER_WORK_UNIT = 2000;
-/** Tokens that the expected duration of a generate pool is given for. */
+/** Tokens that the `expectedMs` of a generate pool stands for. */
 export const TOKENS_PER_WORK_UNIT = 64;
 const END_MARKER = '[DONE]';
 
@@ -42,7 +42,7 @@
   choices: z.array(z.object({text: z.string()})).min(1),
 });
 
-/** Creates the calls of a stage. */
+/** Creates the call of a stage by its kind. */
 export function createStageCall(
   stage: Stage,
   pipeline: WorkspacePipeline,
@@ -143,7 +143,8 @@
 }
 
 /**
- * Streams tokens to the sink; after a cut it goes on from the tokens it has.
+ * Streams tokens to the sink. If a stream is cut off, the next attempt resumes
+ * after the tokens that were received.
  */
 class GenerateCall extends StageCall {
   private readonly pipeline: WorkspacePipeline;
@@ -195,15 +196,15 @@
     return this.prompt;
   }
 
-  // An engine may answer fewer tokens than it was asked for, but a resumed one
-  // always has one left to give: a stream cut after its last token and before
-  // its end marker has all its tokens.
+  // An engine may return fewer tokens than requested. A resumed call always
+  // requests at least one: a stream that was cut off between its last token and
+  // its end marker already has all its tokens.
   private countRemainingTokens(): number {
     return Math.max(1, this.pipeline.maxTokens - this.received.length);
   }
 
-  // Tokens past the limit come when a stream was cut right before its end
-  // marker: the caller has all of them already.
+  // Drops tokens beyond the limit. They arrive after a stream was cut off right
+  // before its end marker; the caller already has all its tokens then.
   private addBatch(batch: readonly string[]): boolean {
     const tokens: string[] = [];
     let isEnd = false;
@@ -242,7 +243,7 @@
   return JSON.parse(body.toString('utf8'));
 }
 
-/** Characters of an upstream's failure that an error shows. */
+/** Characters of a failed response's body that the error message shows. */
 const MAX_ERROR_BODY_CHARACTERS = 200;
 
 async function createStatusError(
--- a/packages/pipeline/src/tracked-upstream.ts
+++ b/packages/pipeline/src/tracked-upstream.ts
@@ -7,30 +7,30 @@
 } from '@hollowstack/routing';
 import type {LoadReport, Upstream} from '@hollowstack/types';
 
-/** A load report with what it says beside the one before it. */
+/** A load report with the time it arrived and a comparison with the previous one. */
 export interface ReceivedReport {
   readonly report: LoadReport;
   readonly receivedAtMs: number;
-  /** Whether work was done since the report before it. */
+  /** Whether the upstream completed work since the previous report. */
   readonly isProgressing: boolean;
 }
 
-/** All that this instance knows of one upstream. */
+/** State that this instance tracks for one upstream. */
 export interface TrackedUpstream {
   upstream: Upstream;
   health: HealthState;
   load: LoadState;
   models: readonly string[] | undefined;
-  /** The newest report with the time it came; undefined before the first. */
+  /** Newest report; undefined before the first one. */
   report: ReceivedReport | undefined;
-  /** When any of this instance's attempts last got a byte from it. */
+  /** Time of the last byte that any attempt of this instance received from it. */
   lastByteAtMs: number;
-  /** Whether the platform's list says that it is leaving. */
+  /** Whether the platform's instance list reports it as leaving. */
   isListedLeaving: boolean;
   readonly cache: CacheIndex;
 }
 
-/** Creates what is known of an upstream that was never met. */
+/** Creates the initial state of an upstream: healthy and without load. */
 export function createTrackedUpstream(upstream: Upstream): TrackedUpstream {
   return {
     upstream,
@@ -44,7 +44,7 @@
   };
 }
 
-/** Returns whether an upstream holds a model, as far as is known. */
+/** Returns whether an upstream has a model loaded; true if none is required or its models are unknown. */
 export function hasModel(
   models: readonly string[] | undefined,
   model: string | undefined,
@@ -52,14 +52,15 @@
   return model === undefined || models === undefined || models.includes(model);
 }
 
-/** Returns whether work was done between two reports. */
+/** Returns whether work was completed between two reports; false if either does not count it. */
 export function hasProgressed(
   before: LoadReport | undefined,
   current: LoadReport,
 ): boolean {
   if (before?.workDone === undefined || current.workDone === undefined)
     return false;
-  // A report that lags may be the same one again; it says nothing new.
+  // The same report may be read twice if reports lag; it shows no progress of
+  // its own, so a running request counts as progress.
   if (before.atMs === current.atMs) return current.running > 0;
   return current.workDone > before.workDone;
 }
--- a/packages/pipeline/src/upstream-group.test.ts
+++ b/packages/pipeline/src/upstream-group.test.ts
@@ -47,7 +47,7 @@
   return {clock, group, report, isCandidate};
 }
 
-test('an upstream that names a time gets no work before its end, however live it reports to be', async () => {
+test('an upstream that names a back-off gets no work before it ends, even if it reports to be live', async () => {
   const {clock, group, report, isCandidate} = createGroup();
   group.recordDispatch('u1');
   group.recordNotRun('u1', 3000);
@@ -61,7 +61,7 @@
   assert.equal(isCandidate(), true);
 });
 
-test('an upstream that names no time is back with its next fresh report', async () => {
+test('an upstream that names no back-off is a candidate again after its next fresh report', async () => {
   const {clock, group, report, isCandidate} = createGroup();
   group.recordDispatch('u1');
   group.recordNotRun('u1', 0);
--- a/packages/pipeline/src/upstream-group.ts
+++ b/packages/pipeline/src/upstream-group.ts
@@ -37,14 +37,14 @@
 
 /** Characters that one block of an engine's prefix cache covers. */
 const CACHE_BLOCK_CHARACTERS = 64;
-/** Milliseconds that a report without a time of its own may lag. */
+/** Assumed age in milliseconds of a report without a timestamp. */
 const ASSUMED_REPORT_LAG_MS = 5000;
-/** Milliseconds for which a report counts as fresh. */
+/** Age in milliseconds up to which a report counts as fresh. */
 const MAX_FRESH_REPORT_AGE_MS = 2500;
-/** Share of a request's time that a wholly cached prompt saves. */
+/** Share of a request's duration that a fully cached prompt saves. */
 const CACHED_PROMPT_SAVING_SHARE = 0.5;
 
-/** The upstreams of one pool or service with all that this instance knows of them. */
+/** Upstreams of one pool or service, with their load, health and slots as this instance tracks them. */
 export class UpstreamGroup {
   readonly slotQueue: PoolSlotQueue;
   readonly retryBudget = new RetryBudget();
@@ -79,7 +79,7 @@
     return this.settings;
   }
 
-  /** Takes a newer configuration; what is known of upstreams that stay is kept. */
+  /** Applies newer settings; upstreams that remain keep their state. */
   setSettings(settings: GroupSettings, instanceCount: number): void {
     this.settings = settings;
     const wanted = new Set(settings.upstreams.map(({id}) => id));
@@ -109,10 +109,9 @@
   }
 
   /**
-   * Lists the upstreams that may take a piece of work.
+   * Lists the upstreams that the work may be sent to.
    *
-   * @param work The work to be placed.
-   * @param excluded Ids that were tried before; they count again where no other is left.
+   * @param excluded Ids of upstreams that were tried before; ignored if no other is left.
    */
   listCandidates(
     work: RoutableWork,
@@ -132,23 +131,23 @@
     }));
   }
 
-  /** Predicts the shortest time for a piece of work; undefined where no upstream is left. */
+  /** Predicts the shortest duration in milliseconds; undefined if there is no candidate. */
   predictBestMs(work: RoutableWork): number | undefined {
     const candidates = this.listCandidates(work, new Set());
     if (candidates.length === 0) return undefined;
     return Math.min(...candidates.map(({predictedMs}) => predictedMs));
   }
 
-  /** Predicts the time for a piece of work at an upstream without other load. */
+  /** Predicts the duration in milliseconds at an upstream without other load. */
   predictUnloadedMs(work: RoutableWork): number {
     const defaultMs = this.settings.expectedMs * work.units;
     return this.durations.getMeanMs(getUnloadedKey(work), defaultMs);
   }
 
   /**
-   * Work is sent to an upstream.
+   * Records that work is sent to an upstream.
    *
-   * @returns Its other load then, for each request it can work on at a time.
+   * @returns The upstream's other load at that time, divided by its slots.
    */
   recordDispatch(id: string): number {
     let occupancy = 0;
@@ -161,9 +160,9 @@
   }
 
   /**
-   * Work was finished by an upstream.
+   * Records that an upstream completed work.
    *
-   * @param occupancy What recordDispatch returned for it.
+   * @param occupancy Return value of recordDispatch for this work.
    */
   recordSuccess(
     id: string,
@@ -180,15 +179,15 @@
     });
   }
 
-  /** A byte of any answer came from an upstream. */
+  /** Records that a chunk of any response arrived from an upstream. */
   recordChunk(id: string): void {
     const tracked = this.tracked.get(id);
     if (tracked) tracked.lastByteAtMs = this.clock.getNow();
   }
 
   /**
-   * Returns when an upstream last gave a sign of being at work: a byte of any
-   * answer, or a fresh report that it works and has more work waiting.
+   * Returns the time of an upstream's last activity: a byte of any response, or
+   * now if a fresh report shows that it makes progress and has queued work.
    */
   getLastActivityAtMs(id: string): number {
     const tracked = this.tracked.get(id);
@@ -198,7 +197,7 @@
     return isBusy ? this.clock.getNow() : tracked.lastByteAtMs;
   }
 
-  /** Returns whether a fresh report says that an upstream gets work done. */
+  /** Returns whether a fresh report shows that an upstream completes work. */
   isProgressing(id: string): boolean {
     const received = this.tracked.get(id)?.report;
     if (!received) return false;
@@ -206,7 +205,7 @@
     return received.isProgressing && ageMs <= MAX_FRESH_REPORT_AGE_MS;
   }
 
-  /** Work failed at an upstream. */
+  /** Records that work failed at an upstream. */
   recordFailure(id: string, kind: FailureKind): void {
     this.applyChange(id, tracked => {
       tracked.load = recordCompletion(tracked.load);
@@ -220,9 +219,10 @@
   }
 
   /**
-   * Work was not finished in the time it got. Where that is more than expected,
-   * it shows the upstream to be slow as much as finished work does; else an
-   * upstream too slow for any deadline would never be found out.
+   * Records that work did not finish in the available time. If that time is
+   * longer than expected, it raises the upstream's slowness as completed work
+   * does. Otherwise an upstream that is too slow for any deadline would never be
+   * detected.
    */
   recordUnfinished(
     id: string,
@@ -238,11 +238,11 @@
     });
   }
 
-  /** Work was stopped by this side, which says nothing of the upstream. */
+  /** Records that this instance cancelled work, which does not count against the upstream. */
   recordCancelled(id: string): void {
     this.applyChange(id, tracked => {
       tracked.load = recordCompletion(tracked.load);
-      // A trial that was stopped has shown nothing: the next work is one again.
+      // A cancelled trial is inconclusive, so the next request is a trial again.
       if (tracked.health.state === 'trial') {
         tracked.health = {...tracked.health, state: 'out'};
       }
@@ -250,9 +250,9 @@
   }
 
   /**
-   * An upstream refused work because it is leaving or full.
+   * Records that an upstream refused work because it is leaving or full.
    *
-   * @param backOffMs Milliseconds for which it wants none, 0 where it named no time.
+   * @param backOffMs Back-off in milliseconds that the upstream asked for; 0 if it named none.
    */
   recordNotRun(id: string, backOffMs: number): void {
     this.applyChange(id, tracked => {
@@ -262,7 +262,7 @@
     });
   }
 
-  /** The platform's list says whether an upstream is leaving. */
+  /** Records whether the platform's instance list reports an upstream as leaving. */
   recordListedState(id: string, isLeaving: boolean): void {
     this.applyChange(id, tracked => {
       tracked.isListedLeaving = isLeaving;
@@ -271,7 +271,7 @@
     });
   }
 
-  /** A load report arrived. */
+  /** Records a load report that has arrived. */
   recordReport(id: string, report: LoadReport): void {
     this.applyChange(id, tracked => {
       const nowMs = this.clock.getNow();
@@ -292,12 +292,12 @@
     );
   }
 
-  /** Cache events arrived. */
+  /** Records cache events that have arrived. */
   recordCacheEvents(id: string, events: readonly CacheEvent[]): void {
     this.tracked.get(id)?.cache.applyEvents(events);
   }
 
-  /** Returns the number of the last cache event seen from an upstream. */
+  /** Returns the sequence number of the last cache event from an upstream; 0 before the first. */
   getLastCacheSequence(id: string): number {
     return this.tracked.get(id)?.cache.getLastSequence() ?? 0;
   }
@@ -368,8 +368,8 @@
   }
 }
 
-// Each instance begins with one and a half even parts of the pool, since
-// callers rarely spread evenly; the adaptive limit corrects it from there.
+// Each instance starts with 1.5 times its even share of the pool, since callers
+// rarely spread evenly; the adaptive limit corrects it from there.
 function createBounds(settings: GroupSettings, instanceCount: number) {
   const totalSlots = settings.upstreams.length * settings.slots;
   const evenShare = totalSlots / Math.max(1, instanceCount);
