--- a/packages/entry/src/create-daemon.ts
+++ b/packages/entry/src/create-daemon.ts
@@ -48,12 +48,12 @@
 import {DecisionReader} from './decision-reader.ts';
 
 /**
- * Seconds of the budget of store calls that may be spent at once; a start
- * reads all ranges.
+ * Burst of store calls, in seconds of the sustained rate: an instance reads all
+ * ranges when it starts.
  */
 const STORE_CALL_BURST_SECONDS = 2;
 
-/** Wires all parts of a daemon; the only place where they are constructed. */
+/** Composition root: creates and connects all parts of a daemon. */
 export function createDaemon(
   settings: Settings,
   environment: DaemonEnvironment,
@@ -276,8 +276,8 @@
 
 const MICROSECONDS_PER_SECOND = 1e6;
 /**
- * Milliseconds beyond a peer's own wait in which its answer must be there;
- * some hundred round trips.
+ * Milliseconds that a reply may take beyond the time that the peer waits
+ * itself; about a hundred round trips.
  */
 const PEER_REPLY_MARGIN_MS = 200;
 
--- a/packages/entry/src/daemon.ts
+++ b/packages/entry/src/daemon.ts
@@ -26,18 +26,18 @@
 import type {PauseGuard} from './pause-guard.ts';
 import type {Settings} from './settings.ts';
 
-/** What a daemon needs of the world; tests pass their own. */
+/** Clock, network and randomness of a daemon; tests pass their own. */
 export interface DaemonEnvironment {
   readonly clock: Clock;
-  /** Towards upstreams and the platform's service. */
+  /** Client for calls to upstreams and to the platform. */
   readonly client: HttpClient;
   readonly peerNetwork: PeerNetwork;
   readonly logger: EventLogger;
-  /** Returns numbers from 0 to below 1. */
+  /** Returns a number from 0 up to, but not including, 1. */
   readonly random: () => number;
 }
 
-/** The running parts of a daemon, in the order in which they start. */
+/** The parts of a daemon. */
 export interface DaemonParts {
   readonly settings: Settings;
   readonly environment: DaemonEnvironment;
@@ -58,7 +58,7 @@
   readonly dispatcher: RequestDispatcher;
 }
 
-/** Milliseconds between two looks whether a start is complete. */
+/** Milliseconds between two checks whether a configuration is in force. */
 const START_POLL_MS = 50;
 
 /** One instance of the system. */
@@ -69,20 +69,20 @@
     this.parts = parts;
   }
 
-  /** Answers one request of a caller, operator or probe. */
+  /** Answers a request of a caller, operator or probe. */
   handle(request: HttpRequest): Promise<HttpResponse> {
     return this.parts.dispatcher.handle(request);
   }
 
-  /** Starts all parts and resolves once a configuration is in force. */
+  /** Starts all parts and resolves once a configuration is in force, or on a stop before that. */
   async start(): Promise<void> {
     const {parts} = this;
     const {clock, logger} = parts.environment;
     logger.logEvent('entry.starting', {
       failureDomain: parts.settings.instance.failureDomain,
     });
-    // Peers come before the service's word counts: after a restore of the
-    // service from a backup only they know the newest revision.
+    // Asks the peers before the store is read: after a restore of the store
+    // from a backup, only the peers know the newest revision.
     await parts.membership.refresh();
     await parts.revisionGossip.runRound();
     void parts.watchHub.start();
@@ -104,10 +104,11 @@
   }
 
   /**
-   * Stops without cutting a request: probes say so at once, requests are
-   * served while the balancer still sends them, and those in progress end.
+   * Stops gracefully: readiness fails at once, new requests are served for the
+   * grace period in which the load balancer may still send them, and requests in
+   * progress may finish.
    *
-   * @returns Whether every request ended within the settings' time.
+   * @returns Whether every request ended within the time limit of the settings.
    */
   async drain(): Promise<boolean> {
     const {environment, lifecycle, settings, claimedCalls} = this.parts;
@@ -132,7 +133,7 @@
       () => true,
     );
     const isClean = await Promise.race([requestsEnded, limitReached]);
-    // A timer that is left would keep the process for all of its time.
+    // A pending timer would keep the process alive until it fires.
     limitTimer.abort(new Error('drained'));
     if (!isClean) {
       logger.logEvent('entry.drain-late', {
@@ -143,7 +144,7 @@
     return isClean;
   }
 
-  /** Stops every part at once. */
+  /** Stops every part without waiting for requests in progress. */
   async stop(): Promise<void> {
     const {parts} = this;
     parts.lifecycle.setState('closing');
--- a/packages/entry/src/decision-reader.ts
+++ b/packages/entry/src/decision-reader.ts
@@ -3,12 +3,12 @@
 import type {Membership, PeerLink} from '@hollowstack/peers';
 import {getInstanceOfRequest} from './request-ids.ts';
 
-/** Milliseconds for a peer's answer to an operator's question. */
+/** Milliseconds within which a peer must answer. */
 const TIMEOUT_MS = 2000;
 
 /**
- * Finds the decisions about a request, on this instance or the one its id
- * names.
+ * Reads the recorded decisions about a request, from this instance or from the
+ * one that the request id names.
  */
 export class DecisionReader {
   private readonly decisionLog: DecisionLog;
@@ -25,7 +25,7 @@
     this.link = link;
   }
 
-  /** @throws HollowstackError `not-found` that says where the record would be. */
+  /** @throws HollowstackError `not-found` if the instance in the id has no record or is gone. */
   async readDecisions(requestId: string): Promise<RequestDecisions> {
     const own = this.decisionLog.getRequest(requestId);
     if (own) return own;
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,4 +1,4 @@
-/** The daemon: settings, HTTP front, wiring and planned stop. */
+/** The daemon: settings, HTTP endpoints, composition and graceful shutdown. */
 export {
   removeSecrets,
   parseSettings,
--- a/packages/entry/src/json-body.ts
+++ b/packages/entry/src/json-body.ts
@@ -3,9 +3,9 @@
 import type {z} from 'zod';
 
 /**
- * Reads a JSON body by a schema.
+ * Reads a JSON body and validates it against a schema.
  *
- * @throws HollowstackError `bad-request` with the place that is wrong.
+ * @throws HollowstackError `bad-request` that names the invalid property.
  */
 export function readJsonBody<Schema extends z.ZodType>(
   request: HttpRequest,
@@ -30,7 +30,7 @@
   }
 }
 
-// Counted on the text, before parsing: the parser itself would recurse.
+// Counts the depth on the text, before parsing, because the parser recurses.
 function rejectDeepNesting(text: string, maxDepth: number): void {
   let depth = 0;
   let isInString = false;
--- a/packages/entry/src/leaving-upstreams.ts
+++ b/packages/entry/src/leaving-upstreams.ts
@@ -2,9 +2,9 @@
 import type {InstanceList} from '@hollowstack/store';
 
 /**
- * Takes upstreams that the platform's list says are leaving out of the
- * candidates. The list lags, so it alone never brings one back: that takes a
- * fresh report of the upstream as well.
+ * Removes upstreams that the platform's instance list reports as leaving from
+ * the candidates. The list may be stale, so it never restores one on its own: a
+ * fresh load report of the upstream is required as well.
  */
 export function followLeavingUpstreams(
   list: InstanceList,
--- a/packages/entry/src/lifecycle.ts
+++ b/packages/entry/src/lifecycle.ts
@@ -1,7 +1,7 @@
-/** Where in its life an instance is. */
+/** Lifecycle state of an instance; `draining` still serves requests, `closing` refuses them. */
 export type LifecycleState = 'starting' | 'ready' | 'draining' | 'closing';
 
-/** The instance's state and its requests in progress. */
+/** Tracks the instance's lifecycle state and its requests in progress. */
 export class Lifecycle {
   private state: LifecycleState = 'starting';
   private inProgress = 0;
@@ -19,7 +19,7 @@
     return this.inProgress;
   }
 
-  /** Notes that a request has begun; the returned function ends it. */
+  /** Records that a request has begun; the returned function records its end. */
   beginRequest(): () => void {
     this.inProgress += 1;
     let isEnded = false;
--- a/packages/entry/src/managed-pools.ts
+++ b/packages/entry/src/managed-pools.ts
@@ -4,8 +4,9 @@
 import type {Pool} from '@hollowstack/types';
 
 /**
- * Lists the pools whose models are placed by orders. A pool of which this
- * instance does not know every engine is left out: it would place on a part.
+ * Lists the pools whose models are placed by orders. Omits a pool if this
+ * instance uses only a subset of its engines or lacks a report of any: models
+ * would be placed on some of the engines only.
  */
 export function listManagedPools(
   configuration: Configuration | undefined,
--- a/packages/entry/src/operator-endpoint.ts
+++ b/packages/entry/src/operator-endpoint.ts
@@ -21,7 +21,7 @@
 import type {StatusReader} from './status-reader.ts';
 import type {DecisionReader} from './decision-reader.ts';
 
-/** What the endpoint works with. */
+/** Dependencies of the endpoint. */
 export interface OperatorEndpointParts {
   readonly store: KeyValueStore;
   readonly holder: ConfigurationHolder;
@@ -30,8 +30,9 @@
   readonly logger: EventLogger;
   readonly statusReader: StatusReader;
   readonly decisionReader: DecisionReader;
-  /** Bearer tokens that are taken. */
+  /** Bearer tokens that are accepted. */
   readonly keys: readonly string[];
+  /** Maximum nesting depth of a JSON body. */
   readonly jsonDepth: number;
 }
 
@@ -48,7 +49,7 @@
   author: z.string().min(1),
 });
 
-/** Serves operators' calls below `/v1/operator/`. */
+/** Serves operator calls below `/v1/operator/`. */
 export class OperatorEndpoint extends Endpoint {
   private readonly parts: OperatorEndpointParts;
 
@@ -89,8 +90,8 @@
     }
   }
 
-  // Hashes of both are compared, so that neither length nor content can be
-  // told from the time it takes.
+  // hasBearerKey compares hashes, so that the response time reveals neither
+  // length nor content of a key.
   private checkKey(request: EndpointRequest): void {
     const {authorization} = request.http.headers;
     if (hasBearerKey(authorization, this.parts.keys)) return;
@@ -142,8 +143,8 @@
     return this.createPublishedResponse(published);
   }
 
-  // The publishing instance takes the change without reading it back: should
-  // the store lose it right after, the peers still learn of it from here.
+  // The publishing instance applies the change without reading it back. If the
+  // store loses the change right after, peers still receive it from here.
   private async applyPublished(published: PublishResult): Promise<void> {
     const {holder, follower} = this.parts;
     if (published.snapshot)
--- a/packages/entry/src/pause-guard.ts
+++ b/packages/entry/src/pause-guard.ts
@@ -1,19 +1,15 @@
 import {waitFor, type Clock, type Timer} from '@hollowstack/clock';
 
-/**
- * Milliseconds between two ticks by which a pause of the process is noticed.
- */
+/** Milliseconds between two ticks, which detect a pause of the process. */
 const TICK_INTERVAL_MS = 500;
-/**
- * Milliseconds without a tick after which the process must have stood still.
- */
+/** Milliseconds without a tick after which the process counts as paused. */
 const PAUSE_THRESHOLD_MS = 2000;
-/** Milliseconds that requests wait for what is read again after a pause. */
+/** Milliseconds that requests wait at most for the refresh after a pause. */
 const REFRESH_TIMEOUT_MS = 500;
 
 /**
- * Notices that the process stood still. What it knows of leaving upstreams is
- * as old as the pause then, and is read again before any work is sent.
+ * Detects that the process was paused. Its list of leaving upstreams is stale
+ * by the length of the pause then, and is refreshed before any work is sent.
  */
 export class PauseGuard {
   private readonly clock: Clock;
@@ -36,7 +32,7 @@
     this.timer?.cancel();
   }
 
-  /** Resolves at once, or after a pause once what is known was read again. */
+  /** Resolves at once, or after a pause once the list was refreshed or the refresh timed out. */
   async waitUntilFresh(): Promise<void> {
     const isPaused = this.clock.getNow() - this.tickedAtMs > PAUSE_THRESHOLD_MS;
     if (isPaused && this.timer !== undefined) this.startRefresh();
@@ -53,7 +49,7 @@
     });
   }
 
-  // The tick after a pause may come before the work that waits behind it.
+  // After a pause, the tick may run before the requests that were waiting.
   private recordTick(): void {
     const isPaused = this.clock.getNow() - this.tickedAtMs > PAUSE_THRESHOLD_MS;
     if (isPaused) this.startRefresh();
--- a/packages/entry/src/peer-request-handler.ts
+++ b/packages/entry/src/peer-request-handler.ts
@@ -12,7 +12,7 @@
 } from '@hollowstack/peers';
 import {match} from 'ts-pattern';
 
-/** What peers' requests are answered from. */
+/** Dependencies of the handler. */
 export interface PeerRequestHandlerParts {
   readonly holder: ConfigurationHolder;
   readonly follower: ConfigurationFollower;
@@ -27,7 +27,7 @@
   {type: Type}
 >;
 
-/** Answers what peers ask. */
+/** Answers requests of peers. */
 export class PeerRequestHandler {
   private readonly parts: PeerRequestHandlerParts;
 
@@ -62,7 +62,7 @@
       .exhaustive();
   }
 
-  /** Returns the revision in force and the change that made it. */
+  /** Returns the revision in force and the id of its change; 0 and empty if none is. */
   getRevision(): {revision: number; changeId: string} {
     const current = this.parts.holder.getCurrent();
     if (!current) return {revision: 0, changeId: ''};
--- a/packages/entry/src/pipeline-endpoint.ts
+++ b/packages/entry/src/pipeline-endpoint.ts
@@ -28,26 +28,26 @@
   type RequestScope,
 } from './request-scope.ts';
 
-/** What the endpoint works with. */
+/** Dependencies of the endpoint. */
 export interface PipelineEndpointParts {
   readonly clock: Clock;
   readonly gate: RequestGate;
   readonly runner: PipelineRunner;
   readonly decisionLog: DecisionLog;
   readonly metrics: MetricsRegistry;
-  /** Deepest nesting of a JSON body. */
+  /** Maximum nesting depth of a JSON body. */
   readonly jsonDepth: number;
 }
 
 const bodySchema = z.object({
   input: z.string().min(1),
   stream: z.boolean().default(false),
-  /** Lowers the workspace's own number, never raises it. */
+  /** Lowers the pipeline's own limit; a higher value has no effect. */
   maxTokens: z.number().int().positive().optional(),
 });
 type PipelineBody = z.infer<typeof bodySchema>;
 
-/** Segments of `/v1/workspaces/W/pipelines/P`. */
+/** Number of segments in `/v1/workspaces/W/pipelines/P`. */
 const PIPELINE_SEGMENTS = 5;
 
 /** Serves `POST /v1/workspaces/{workspace}/pipelines/{pipeline}`. */
@@ -141,7 +141,8 @@
     });
   }
 
-  // The head waits for the first token, so that a refusal has its own status.
+  // Waits for the first token before the head is sent, so that a refusal gets
+  // its own HTTP status.
   private async answerStreaming(run: PipelineRun): Promise<HttpResponse> {
     const sink = new StreamSink();
     const running = this.run(run, sink).then(
@@ -223,7 +224,7 @@
   };
 }
 
-/** Passes tokens on as server-sent events. */
+/** Sends tokens as server-sent events. */
 class StreamSink extends ResultSink {
   readonly queue = new AsyncQueue<Uint8Array>();
   readonly begun: Promise<void>;
@@ -247,14 +248,14 @@
     this.queue.push(Buffer.from(text));
   }
 
-  /** Ends the stream with its end marker: without it the answer is not whole. */
+  /** Ends the stream with its end marker; a stream without it is incomplete. */
   finish(answer: object): void {
     this.begin();
     this.queue.push(encodeServerSentEvent(JSON.stringify(answer), 'done'));
     this.queue.end();
   }
 
-  /** Ends the stream with the problem that cut it short. */
+  /** Ends the stream with the problem that interrupted it. */
   fail(error: HollowstackError, requestId: string): void {
     const problem = createProblem(error, requestId);
     this.queue.push(encodeServerSentEvent(JSON.stringify(problem), 'error'));
--- a/packages/entry/src/problem-response.ts
+++ b/packages/entry/src/problem-response.ts
@@ -5,10 +5,10 @@
   type HttpResponse,
 } from '@hollowstack/transport';
 
-/** Header that every answer carries. */
+/** Response header that carries the request id. */
 export const REQUEST_ID_HEADER = 'hollowstack-request-id';
 
-/** Creates the answer for an error; a refusal says when to come back. */
+/** Creates the problem response of an error, with `retry-after` if the error names a time. */
 export function createProblemResponse(
   error: HollowstackError,
   requestId: string,
@@ -24,7 +24,7 @@
   };
 }
 
-// The header counts whole seconds; the body says it to the millisecond.
+// The header has whole seconds; the body has milliseconds.
 function createRetryHeader(retryAfterMs: number | undefined): HttpHeaders {
   if (retryAfterMs === undefined) return {};
   return {'retry-after': String(Math.max(1, Math.ceil(retryAfterMs / 1000)))};
--- a/packages/entry/src/request-dispatcher.ts
+++ b/packages/entry/src/request-dispatcher.ts
@@ -7,7 +7,7 @@
 import {createProblemResponse} from './problem-response.ts';
 import type {RequestIds} from './request-ids.ts';
 
-/** What the front works with. */
+/** Dependencies of the dispatcher. */
 export interface RequestDispatcherParts {
   readonly clock: Clock;
   readonly logger: EventLogger;
@@ -16,7 +16,7 @@
   readonly endpoints: readonly Endpoint[];
 }
 
-/** Finds the endpoint for each request, and makes problems of what it throws. */
+/** Passes each request to its endpoint and turns thrown errors into problem responses. */
 export class RequestDispatcher {
   private readonly parts: RequestDispatcherParts;
 
@@ -24,7 +24,7 @@
     this.parts = parts;
   }
 
-  /** Answers one request; never throws. */
+  /** Answers a request; never rejects. */
   async handle(http: HttpRequest): Promise<HttpResponse> {
     const {clock, lifecycle, requestIds} = this.parts;
     const requestId = requestIds.createId();
@@ -55,8 +55,9 @@
     throw new HollowstackError('not-found', `no such call: ${method} ${path}`);
   }
 
-  // The request lasts until its last byte is out. While stopping, each answer
-  // closes its connection, so that the caller's next request goes elsewhere.
+  // A request ends when the last byte of its response was sent. Unless the
+  // instance is ready, responses close their connection, so that the caller's
+  // next request goes to another instance.
   private finishResponse(
     response: HttpResponse,
     endRequest: () => void,
--- a/packages/entry/src/request-gate.ts
+++ b/packages/entry/src/request-gate.ts
@@ -4,16 +4,16 @@
 import type {Workspace} from '@hollowstack/types';
 import type {Lifecycle} from './lifecycle.ts';
 
-/** A request that was let in. */
+/** A request that passed admission. */
 export interface AdmittedRequest {
-  /** The configuration the request keeps to its end. */
+  /** Configuration that the request uses until its end. */
   readonly configuration: Configuration;
   readonly workspace: Workspace;
-  /** To be called when the request is over; further calls do nothing. */
+  /** Releases the request's share of the limits; must be called once it has ended, may be repeated. */
   end(): void;
 }
 
-/** Lets requests in: the instance must be ready and the workspace within its limits. */
+/** Admits requests if the instance serves them and the workspace is within its limits. */
 export class RequestGate {
   private readonly lifecycle: Lifecycle;
   private readonly holder: ConfigurationHolder;
--- a/packages/entry/src/request-ids.ts
+++ b/packages/entry/src/request-ids.ts
@@ -1,11 +1,11 @@
 const SEPARATOR = '.';
 
-/** Makes request ids that name their instance and are never made twice. */
+/** Creates unique request ids that name their instance. */
 export class RequestIds {
   private readonly prefix: string;
   private nextNumber = 1;
 
-  /** @param startedAtMs Milliseconds since the epoch; sets a restarted instance's ids apart. */
+  /** @param startedAtMs Milliseconds since the epoch; keeps ids unique across restarts. */
   constructor(instanceId: string, startedAtMs: number, random: () => number) {
     const startPart = Math.floor(startedAtMs).toString(36);
     const randomPart = Math.floor(random() * 36 ** 4).toString(36);
@@ -17,7 +17,7 @@
   }
 }
 
-/** Returns the id of the instance that a request id names. */
+/** Returns the id of the instance that created a request id. */
 export function getInstanceOfRequest(requestId: string): string {
   return requestId.split(SEPARATOR)[0];
 }
--- a/packages/entry/src/request-limits.test.ts
+++ b/packages/entry/src/request-limits.test.ts
@@ -74,7 +74,7 @@
   });
 }
 
-test('a body over the limit is answered 413 with what to do', async () => {
+test('a body over the limit is answered 413 with a problem', async () => {
   const answer = await sendPost(JSON.stringify({input: 'x'.repeat(5000)}));
   assert.deepEqual(answer, {status: 413, kind: 'payload-too-large'});
 });
@@ -84,14 +84,14 @@
   assert.equal(answer.status, 431);
 });
 
-test('a caller that sends too slowly is answered 408 and let go', async () => {
+test('a caller that sends too slowly is answered 408 and disconnected', async () => {
   const answer = await sendSlowly(
     `POST ${CHAT} HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{"in`,
   );
   assert.match(answer, /^HTTP\/1\.1 408 /);
 });
 
-test('bad input gets a problem that names the place', async t => {
+test('invalid input is answered 400 with the kind bad-request', async t => {
   const bodies = {
     malformed: '{"input": ',
     'wrong type': '{"input": 7}',
@@ -105,7 +105,7 @@
   t.assert.snapshot(answers);
 });
 
-test('each refusal says its kind, whether it ran and when to come back', async t => {
+test('each refusal states its kind, whether the request ran, its cause and an action', async t => {
   const answers = [
     await caller.runPipeline('nobody', 'chat', 'x'),
     await caller.runPipeline('lima-centro', 'nothing', 'x'),
@@ -128,7 +128,7 @@
   );
 });
 
-test('a caller that cuts its connection frees the upstream', async () => {
+test('a request whose caller disconnects is cancelled at the upstream', async () => {
   const controller = new AbortController();
   const path = '/v1/workspaces/lima-centro/pipelines/summary';
   const sending = caller.send(
--- a/packages/entry/src/request-scope.ts
+++ b/packages/entry/src/request-scope.ts
@@ -7,13 +7,13 @@
 } from '@hollowstack/errors';
 import {RequestContext, type RequestIdentity} from '@hollowstack/pipeline';
 
-/** A context with what has to be let go of at its end. */
+/** A request context; `release` frees its deadline timer. */
 export interface RequestScope {
   readonly context: RequestContext;
   release(): void;
 }
 
-/** Opens the context of a request: its deadline runs and its decisions are kept. */
+/** Opens the context of a request: starts its deadline and the record of its decisions. */
 export function openRequestScope(
   identity: RequestIdentity,
   arrivedAtMs: number,
@@ -39,10 +39,10 @@
 }
 
 /**
- * Returns the error with the truth about whether the request ran: `no` only
- * where no upstream may have begun any work of it.
+ * Returns the error with `ran` set, and records it as a decision. `ran` is `no`
+ * only if no upstream may have begun any work of the request.
  *
- * @param ranIfBegun What to say where one may have.
+ * @param ranIfBegun Value of `ran` if an upstream may have begun work.
  */
 export function applyRunStatus(
   thrown: unknown,
@@ -58,7 +58,12 @@
 
 const DEADLINE_HEADER = 'hollowstack-deadline-ms';
 
-/** Returns when a request must be answered; a caller may shorten the time, not lengthen it. */
+/**
+ * Returns the deadline of a request in milliseconds since the epoch. A caller
+ * may shorten the allowed time, but not extend it.
+ *
+ * @throws HollowstackError `bad-request` if the header is not a number above 0.
+ */
 export function computeDeadlineMs(
   arrivedAtMs: number,
   allowedMs: number,
@@ -75,7 +80,7 @@
   return arrivedAtMs + Math.min(allowedMs, requestedMs);
 }
 
-/** Returns the header by which a caller shortens its deadline. */
+/** Returns the value of the header by which a caller shortens its deadline; undefined if absent. */
 export function getDeadlineHeader(
   headers: Readonly<Record<string, string>>,
 ): string | undefined {
--- a/packages/entry/src/service-endpoint.ts
+++ b/packages/entry/src/service-endpoint.ts
@@ -27,7 +27,7 @@
   applyRunStatus,
 } from './request-scope.ts';
 
-/** What the endpoint works with. */
+/** Dependencies of the endpoint. */
 export interface ServiceEndpointParts {
   readonly clock: Clock;
   readonly instanceId: string;
@@ -38,15 +38,15 @@
   readonly metrics: MetricsRegistry;
 }
 
-/** Segments of `/v1/workspaces/W/services/S` before the path of the service. */
+/** Number of segments in `/v1/workspaces/W/services/S`, which precede the service's own path. */
 const FIXED_SEGMENTS = 5;
 const IDEMPOTENCY_KEY_HEADER = 'idempotency-key';
 /**
- * Bytes of an answer that is recorded for resends; values of the store hold a
- * megabyte.
+ * Maximum size in bytes of an answer's base64 body that is stored for resends;
+ * a value of the store holds up to 1 MB.
  */
 const MAX_STORED_BYTES = 256 * 1024;
-/** Priority of calls to plain services, which have none of their own. */
+/** Priority of calls to plain services, whose settings have no priority. */
 const SERVICE_PRIORITY = 1;
 
 /** Serves `/v1/workspaces/{workspace}/services/{service}/...`. */
@@ -101,8 +101,8 @@
       request.arrivedAtMs,
       clock,
       decisionLog,
-      // A call that must not be repeated is not broken off because its caller
-      // went: it may have run, and only its answer tells.
+      // A call that must not be repeated continues if its caller disconnects: it
+      // may have run, and only its answer shows the outcome.
       call.isRepeatable ? request.http.signal : undefined,
     );
     try {
@@ -161,8 +161,8 @@
         }
       },
     );
-    // The store may answer late; the caller is told at its deadline all the
-    // same, and nothing is sent to the service after it.
+    // The store may answer late. The caller still gets an error at its deadline,
+    // and nothing is sent to the service after it.
     const answer = await rejectOnAbort(running, context.signal);
     if (failure !== undefined) throw failure;
     if (answer?.body === undefined) {
@@ -218,8 +218,8 @@
   );
   return {
     service: service.name,
-    // What no operation names is not repeatable: to be wrong about it would
-    // run a call twice.
+    // A call that matches no operation is not repeatable, since a wrong guess
+    // would run it twice.
     isRepeatable: operation?.repeatable ?? false,
     call: {
       method: http.method,
@@ -249,7 +249,8 @@
     .digest('hex');
 }
 
-// For a call that must not be repeated, "it ran" is only said with its answer.
+// Without its answer, a call that must not be repeated may have run: `ran` is
+// `unknown`, never `yes`.
 function applyServiceRunStatus(
   thrown: unknown,
   context: RequestContext,
--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -4,7 +4,7 @@
 import {parseTomlFile} from '@hollowstack/toml-file';
 import {z} from 'zod';
 
-/** Characters of a secret, at least; 16 of them cannot be guessed. */
+/** Minimum length of a secret in characters; 16 cannot be guessed. */
 const MIN_SECRET_LENGTH = 16;
 const secretSchema = z
   .string()
@@ -18,29 +18,28 @@
     id: z
       .string()
       .regex(/^[a-z0-9-]{1,40}$/, 'use small letters, digits, dashes'),
-    /** Failure domain. */
     failureDomain: z.string().min(1),
   }),
   listen: z.strictObject({
-    /** Where callers, operators and probes come. */
+    /** Address for callers, operators and probes. */
     address: addressSchema,
-    /** Where peers come; they are told this address. */
+    /** Address for peers; it is published to them. */
     peerAddress: addressSchema,
   }),
   platform: z.strictObject({
     address: addressSchema,
     timeoutMs: z.number().positive().default(2000),
-    /** This instance's part of the service's call rate. */
+    /** This instance's share of the call rate that the platform's store allows. */
     callsPerSecond: z.number().positive().default(50),
   }),
   peers: z.strictObject({
-    /** Addresses to ask while the platform's service is down. */
+    /** Addresses of peers to contact while the platform's store is unavailable. */
     seeds: z.array(addressSchema).default([]),
-    /** The first is dialled with, any is taken. */
+    /** The first key is used for outgoing connections; incoming ones may use any. */
     keys: z.array(peerKeySchema).min(1),
   }),
   operators: z.strictObject({
-    /** Bearer tokens that operator calls are taken with. */
+    /** Bearer tokens that are accepted for operator calls. */
     keys: z.array(secretSchema).min(1),
   }),
   limits: z
@@ -56,32 +55,32 @@
         .positive()
         .default(16 * 1024),
       receiveMs: z.number().int().positive().default(10_000),
-      /** Deepest nesting of a JSON body. */
+      /** Maximum nesting depth of a JSON body. */
       jsonDepth: z.number().int().positive().default(32),
-      /** Most upstreams of one pool that this instance uses. */
+      /** Maximum number of upstreams of one pool that this instance uses. */
       upstreamSubset: z.number().int().positive().default(24),
-      /** Milliseconds between two readings of an upstream's load report. */
+      /** Milliseconds between two polls of an upstream's load report. */
       reportPollMs: z.number().positive().default(1000),
     })
     .prefault({}),
   drain: z
     .strictObject({
-      /** How long the balancer may go on sending after a stop was asked for. */
+      /** How long the load balancer may still send requests after a stop began. */
       graceMs: z.number().nonnegative().default(5000),
-      /** How long requests in progress may take after that. */
+      /** How long requests in progress may take after the grace period. */
       limitMs: z.number().positive().default(60_000),
     })
     .prefault({}),
   policy: z
     .strictObject({
       selector: z.enum(SELECTOR_NAMES).default('predicted-finish'),
-      /** Refuses work whose predicted finish lies behind its deadline. */
+      /** Refuses work whose predicted finish is after its deadline. */
       refuseDoomed: z.boolean().default(true),
-      /** Adapts this instance's part of each pool to what it observes. */
+      /** Adapts this instance's concurrency limit of each pool to the observed load. */
       adaptLimits: z.boolean().default(true),
-      /** Lets an answered load report bring an upstream back; a baseline. */
+      /** Restores an upstream as soon as it answers with a load report; a baseline. */
       reportRestores: z.boolean().default(false),
-      /** Gives an attempt up early when it is silent for longer than usual. */
+      /** Cancels an attempt early if its upstream is inactive for longer than usual. */
       adaptSilence: z.boolean().default(true),
     })
     .prefault({}),
@@ -98,8 +97,8 @@
 /**
  * Parses a settings file.
  *
- * @param path Shown in errors.
- * @throws HollowstackError `configuration-invalid` with path, line or place.
+ * @param path Path of the file for error messages.
+ * @throws HollowstackError `configuration-invalid` with the path and the line or key.
  */
 export function parseSettings(text: string, path: string): Settings {
   return parseTomlFile(text, path, settingsSchema);
@@ -107,7 +106,7 @@
 
 const HIDDEN = '(hidden)';
 
-/** Returns the settings with their secrets hidden, for showing. */
+/** Returns a copy of the settings whose secrets are replaced, for display. */
 export function removeSecrets(settings: Settings): Settings {
   return {
     ...settings,
--- a/packages/entry/src/status-reader.ts
+++ b/packages/entry/src/status-reader.ts
@@ -7,7 +7,7 @@
 import type {GroupDirectory, UpstreamStatus} from '@hollowstack/pipeline';
 import type {Lifecycle, LifecycleState} from './lifecycle.ts';
 
-/** One instance as operators are shown it. */
+/** State of one instance as the status command shows it. */
 export interface InstanceStatus {
   readonly instance: string;
   readonly failureDomain: string;
@@ -20,23 +20,23 @@
   readonly latencies: readonly LatencyStatus[];
 }
 
-/** One pool or service as operators are shown it. */
+/** State of one pool or service as the status command shows it. */
 export interface GroupStatus {
   readonly name: string;
-  /** Places this instance gives itself. */
+  /** Current concurrency limit of this instance. */
   readonly limit: number;
   readonly inService: number;
   readonly upstreams: readonly UpstreamStatus[];
 }
 
-/** Answered requests of one workspace, pipeline and class. */
+/** Latencies of the requests of one workspace, pipeline and priority. */
 export interface LatencyStatus extends LatencySummary {
   readonly workspace: string;
   readonly pipeline: string;
   readonly class: string;
 }
 
-/** What the reader reads from. */
+/** Dependencies of the reader. */
 export interface StatusReaderParts {
   readonly membership: Membership;
   readonly lifecycle: Lifecycle;
