--- a/packages/entry/src/daemon.ts
+++ b/packages/entry/src/daemon.ts
@@ -26,7 +26,7 @@
 import type {PauseGuard} from './pause-guard.ts';
 import type {Settings} from './settings.ts';
 
-/** Clock, network and randomness of a daemon; tests pass their own. */
+/** Clock, network, log and randomness of a daemon; tests pass their own. */
 export interface DaemonEnvironment {
   readonly clock: Clock;
   /** Client for calls to upstreams and to the platform. */
--- a/packages/entry/src/decision-reader.ts
+++ b/packages/entry/src/decision-reader.ts
@@ -25,7 +25,7 @@
     this.link = link;
   }
 
-  /** @throws HollowstackError `not-found` if the instance in the id has no record or is gone. */
+  /** @throws HollowstackError `not-found` if the instance named in the id is gone or has no record. */
   async readDecisions(requestId: string): Promise<RequestDecisions> {
     const own = this.decisionLog.getRequest(requestId);
     if (own) return own;
--- a/packages/entry/src/pause-guard.ts
+++ b/packages/entry/src/pause-guard.ts
@@ -8,8 +8,8 @@
 const REFRESH_TIMEOUT_MS = 500;
 
 /**
- * Detects that the process was paused. Its list of leaving upstreams is stale
- * by the length of the pause then, and is refreshed before any work is sent.
+ * Detects that the process was paused. The list of leaving upstreams is then
+ * stale by the length of the pause, and is refreshed before any work is sent.
  */
 export class PauseGuard {
   private readonly clock: Clock;
--- a/packages/pipeline/src/group-work.ts
+++ b/packages/pipeline/src/group-work.ts
@@ -23,7 +23,7 @@
   readonly metrics: MetricsRegistry;
   readonly logger: EventLogger;
   readonly policy: RunnerPolicy;
-  /** Resolves once the list of upstreams is not stale after a pause of the process. */
+  /** Resolves at once, or after a pause of the process once the list of leaving upstreams was refreshed. */
   readonly waitUntilFresh: () => Promise<void>;
 }
 
--- a/packages/pipeline/src/pool-slot-queue.ts
+++ b/packages/pipeline/src/pool-slot-queue.ts
@@ -18,7 +18,7 @@
 
 /** Request for a slot. */
 export interface SlotRequest extends WaitingWork {
-  /** Milliseconds since the epoch; work that starts later cannot meet its deadline. */
+  /** Milliseconds since the epoch after which it is too late to start; a waiting request is rejected then. */
   readonly latestStartMs: number;
 }
 
