--- a/packages/entry/src/operator-endpoint.ts
+++ b/packages/entry/src/operator-endpoint.ts
@@ -21,17 +21,18 @@
 import type {StatusReader} from './status-reader.ts';
 import type {DecisionReader} from './decision-reader.ts';
 
-/** What the endpoint works with. */
+/** Dependencies of the endpoint. */
 export interface OperatorEndpointParts {
   readonly store: KeyValueStore;
   readonly holder: ConfigurationHolder;
   readonly follower: ConfigurationFollower;
   readonly publisher: ConfigurationPublisher;
   readonly logger: EventLogger;
-  readonly status: StatusReader;
-  readonly why: DecisionReader;
-  /** Bearer tokens that are taken. */
+  readonly statusReader: StatusReader;
+  readonly decisionReader: DecisionReader;
+  /** Bearer tokens that are accepted. */
   readonly keys: readonly string[];
+  /** Maximum nesting depth of a JSON body. */
   readonly jsonDepth: number;
 }
 
@@ -48,7 +49,7 @@
   author: z.string().min(1),
 });
 
-/** Serves operators' calls below `/v1/operator/`. */
+/** Serves operator calls below `/v1/operator/`. */
 export class OperatorEndpoint extends Endpoint {
   private readonly parts: OperatorEndpointParts;
 
@@ -78,19 +79,19 @@
           changes: await readChangeRecords(this.parts.store),
         });
       case 'GET status':
-        return createJsonResponse(200, this.parts.status.readStatus());
+        return createJsonResponse(200, this.parts.statusReader.readStatus());
       case `GET why ${request.segments[3]}`:
         return createJsonResponse(
           200,
-          await this.parts.why.readDecisions(request.segments[3]),
+          await this.parts.decisionReader.readDecisions(request.segments[3]),
         );
       default:
         throw new HollowstackError('not-found', 'no such operator call');
     }
   }
 
-  // Hashes of both are compared, so that neither length nor content can be
-  // told from the time it takes.
+  // hasBearerKey compares hashes, so that the response time reveals neither
+  // length nor content of a key.
   private checkKey(request: EndpointRequest): void {
     const {authorization} = request.http.headers;
     if (hasBearerKey(authorization, this.parts.keys)) return;
@@ -126,7 +127,7 @@
       changeId: published.changeId,
       author: body.author,
     });
-    await this.putInForce(published);
+    await this.applyPublished(published);
     return this.createPublishedResponse(published);
   }
 
@@ -138,13 +139,13 @@
       throw new HollowstackError('not-ready', 'nothing is in force here');
     }
     const published = await publisher.restore(current.snapshot, body);
-    await this.putInForce(published);
+    await this.applyPublished(published);
     return this.createPublishedResponse(published);
   }
 
-  // The publishing instance takes the change without reading it back: should
-  // the store lose it right after, the peers still learn of it from here.
-  private async putInForce(published: PublishResult): Promise<void> {
+  // The publishing instance applies the change without reading it back. If the
+  // store loses the change right after, peers still receive it from here.
+  private async applyPublished(published: PublishResult): Promise<void> {
     const {holder, follower} = this.parts;
     if (published.snapshot)
       holder.offerSnapshot(published.snapshot, 'operator');
--- a/packages/entry/src/pipeline-endpoint.ts
+++ b/packages/entry/src/pipeline-endpoint.ts
@@ -28,26 +28,26 @@
   type RequestScope,
 } from './request-scope.ts';
 
-/** What the endpoint works with. */
+/** Dependencies of the endpoint. */
 export interface PipelineEndpointParts {
   readonly clock: Clock;
   readonly gate: RequestGate;
   readonly runner: PipelineRunner;
   readonly decisionLog: DecisionLog;
   readonly metrics: MetricsRegistry;
-  /** Deepest nesting of a JSON body. */
+  /** Maximum nesting depth of a JSON body. */
   readonly jsonDepth: number;
 }
 
 const bodySchema = z.object({
   input: z.string().min(1),
   stream: z.boolean().default(false),
-  /** Lowers the workspace's own number, never raises it. */
+  /** Lowers the pipeline's own limit; a higher value has no effect. */
   maxTokens: z.number().int().positive().optional(),
 });
 type PipelineBody = z.infer<typeof bodySchema>;
 
-/** Segments of `/v1/workspaces/W/pipelines/P`. */
+/** Number of segments in `/v1/workspaces/W/pipelines/P`. */
 const PIPELINE_SEGMENTS = 5;
 
 /** Serves `POST /v1/workspaces/{workspace}/pipelines/{pipeline}`. */
@@ -77,7 +77,7 @@
       const run = this.openRun(request, admitted, pipelineName, body);
       return body.stream
         ? await this.answerStreaming(run)
-        : await this.answerWhole(run);
+        : await this.answerBuffered(run);
     } catch (error) {
       admitted.end();
       throw error;
@@ -133,7 +133,7 @@
     };
   }
 
-  private async answerWhole(run: PipelineRun): Promise<HttpResponse> {
+  private async answerBuffered(run: PipelineRun): Promise<HttpResponse> {
     const sink = new CollectingSink();
     const result = await this.run(run, sink);
     return createJsonResponse(200, createAnswer(run, result, sink.getText()), {
@@ -141,7 +141,8 @@
     });
   }
 
-  // The head waits for the first token, so that a refusal has its own status.
+  // Waits for the first token before the head is sent, so that a refusal gets
+  // its own HTTP status.
   private async answerStreaming(run: PipelineRun): Promise<HttpResponse> {
     const sink = new StreamSink();
     const running = this.run(run, sink).then(
@@ -223,16 +224,16 @@
   };
 }
 
-/** Passes tokens on as server-sent events. */
+/** Sends tokens as server-sent events. */
 class StreamSink extends ResultSink {
   readonly queue = new AsyncQueue<Uint8Array>();
   readonly begun: Promise<void>;
   private isBegun = false;
-  private acceptBegun: () => void = () => {};
+  private settleBegun: () => void = () => {};
 
   constructor() {
     super();
-    this.begun = new Promise(resolve => (this.acceptBegun = resolve));
+    this.begun = new Promise(resolve => (this.settleBegun = resolve));
   }
 
   hasBegun(): boolean {
@@ -247,14 +248,14 @@
     this.queue.push(Buffer.from(text));
   }
 
-  /** Ends the stream with its end marker: without it the answer is not whole. */
+  /** Ends the stream with its end marker; a stream without it is incomplete. */
   finish(answer: object): void {
     this.begin();
     this.queue.push(encodeServerSentEvent(JSON.stringify(answer), 'done'));
     this.queue.end();
   }
 
-  /** Ends the stream with the problem that cut it short. */
+  /** Ends the stream with the problem that interrupted it. */
   fail(error: HollowstackError, requestId: string): void {
     const problem = createProblem(error, requestId);
     this.queue.push(encodeServerSentEvent(JSON.stringify(problem), 'error'));
@@ -263,6 +264,6 @@
 
   private begin(): void {
     this.isBegun = true;
-    this.acceptBegun();
+    this.settleBegun();
   }
 }
--- a/packages/entry/src/request-ids.ts
+++ b/packages/entry/src/request-ids.ts
@@ -1,15 +1,15 @@
 const SEPARATOR = '.';
 
-/** Makes request ids that name their instance and are never made twice. */
+/** Creates unique request ids that name their instance. */
 export class RequestIds {
   private readonly prefix: string;
   private nextNumber = 1;
 
-  /** @param startedAtMs Milliseconds since the epoch; sets a restarted instance's ids apart. */
+  /** @param startedAtMs Milliseconds since the epoch; keeps ids unique across restarts. */
   constructor(instanceId: string, startedAtMs: number, random: () => number) {
-    const start = Math.floor(startedAtMs).toString(36);
-    const draw = Math.floor(random() * 36 ** 4).toString(36);
-    this.prefix = [instanceId, start + draw].join(SEPARATOR);
+    const startPart = Math.floor(startedAtMs).toString(36);
+    const randomPart = Math.floor(random() * 36 ** 4).toString(36);
+    this.prefix = [instanceId, startPart + randomPart].join(SEPARATOR);
   }
 
   createId(): string {
@@ -17,7 +17,7 @@
   }
 }
 
-/** Returns the id of the instance that a request id names. */
+/** Returns the id of the instance that created a request id. */
 export function getInstanceOfRequest(requestId: string): string {
   return requestId.split(SEPARATOR)[0];
 }
--- a/packages/entry/src/service-endpoint.ts
+++ b/packages/entry/src/service-endpoint.ts
@@ -27,7 +27,7 @@
   applyRunStatus,
 } from './request-scope.ts';
 
-/** What the endpoint works with. */
+/** Dependencies of the endpoint. */
 export interface ServiceEndpointParts {
   readonly clock: Clock;
   readonly instanceId: string;
@@ -38,15 +38,15 @@
   readonly metrics: MetricsRegistry;
 }
 
-/** Segments of `/v1/workspaces/W/services/S` before the path of the service. */
+/** Number of segments in `/v1/workspaces/W/services/S`, which precede the service's own path. */
 const FIXED_SEGMENTS = 5;
-const KEY_HEADER = 'idempotency-key';
+const IDEMPOTENCY_KEY_HEADER = 'idempotency-key';
 /**
- * Bytes of an answer that is recorded for resends; values of the store hold a
- * megabyte.
+ * Maximum size in bytes of an answer's base64 body that is stored for resends;
+ * a value of the store holds up to 1 MB.
  */
-const MAX_KEPT_BYTES = 256 * 1024;
-/** Priority of calls to plain services, which have none of their own. */
+const MAX_STORED_BYTES = 256 * 1024;
+/** Priority of calls to plain services, whose settings have no priority. */
 const SERVICE_PRIORITY = 1;
 
 /** Serves `/v1/workspaces/{workspace}/services/{service}/...`. */
@@ -101,8 +101,8 @@
       request.arrivedAtMs,
       clock,
       decisionLog,
-      // A call that must not be repeated is not broken off because its caller
-      // went: it may have run, and only its answer tells.
+      // A call that must not be repeated continues if its caller disconnects: it
+      // may have run, and only its answer shows the outcome.
       call.isRepeatable ? request.http.signal : undefined,
     );
     try {
@@ -110,7 +110,7 @@
       this.recordOutcome(scope.context, request, 'answered');
       return response;
     } catch (thrown) {
-      const error = settleServiceError(thrown, scope.context, call);
+      const error = applyServiceRunStatus(thrown, scope.context, call);
       this.recordOutcome(scope.context, request, error.kind);
       throw error;
     } finally {
@@ -123,10 +123,10 @@
     call: ServiceCallRequest,
     context: RequestContext,
   ): Promise<HttpResponse> {
-    const key = request.http.headers[KEY_HEADER];
+    const key = request.http.headers[IDEMPOTENCY_KEY_HEADER];
     if (call.isRepeatable || key === undefined) {
       const answer = await this.parts.runner.runCall(call, context);
-      return createServiceResponse(request, toKeptAnswer(answer));
+      return createServiceResponse(request, toStoredAnswer(answer));
     }
     return this.runClaimed(request, call, key, context);
   }
@@ -151,15 +151,18 @@
       async (): Promise<CallOutcome> => {
         try {
           const done = await this.parts.runner.runCall(call, context);
-          return {type: 'finished', answer: applyKeptLimit(toKeptAnswer(done))};
+          return {
+            type: 'finished',
+            answer: applySizeLimit(toStoredAnswer(done)),
+          };
         } catch (error) {
           failure = error;
           return {type: context.mayHaveRun() ? 'unknown' : 'not-run'};
         }
       },
     );
-    // The store may answer late; the caller is told at its deadline all the
-    // same, and nothing is sent to the service after it.
+    // The store may answer late. The caller still gets an error at its deadline,
+    // and nothing is sent to the service after it.
     const answer = await rejectOnAbort(running, context.signal);
     if (failure !== undefined) throw failure;
     if (answer?.body === undefined) {
@@ -203,18 +206,20 @@
   service: Service,
 ): ServiceCallRequest {
   const {http, segments} = request;
-  const rest = segments.slice(FIXED_SEGMENTS).map(encodeURIComponent);
+  const serviceSegments = segments
+    .slice(FIXED_SEGMENTS)
+    .map(encodeURIComponent);
   const query = http.path.includes('?')
     ? http.path.slice(http.path.indexOf('?'))
     : '';
-  const pathname = '/' + rest.join('/');
+  const pathname = '/' + serviceSegments.join('/');
   const operation = service.operations.find(candidate =>
     isOperationFor(candidate, http.method, pathname),
   );
   return {
     service: service.name,
-    // What no operation names is not repeatable: to be wrong about it would
-    // run a call twice.
+    // A call that matches no operation is not repeatable, since a wrong guess
+    // would run it twice.
     isRepeatable: operation?.repeatable ?? false,
     call: {
       method: http.method,
@@ -244,8 +249,9 @@
     .digest('hex');
 }
 
-// For a call that must not be repeated, "it ran" is only said with its answer.
-function settleServiceError(
+// Without its answer, a call that must not be repeated may have run: `ran` is
+// `unknown`, never `yes`.
+function applyServiceRunStatus(
   thrown: unknown,
   context: RequestContext,
   call: ServiceCallRequest,
@@ -257,7 +263,7 @@
   return applyRunStatus(thrown, context, call.isRepeatable ? 'yes' : 'unknown');
 }
 
-function toKeptAnswer(answer: ServiceAnswer): StoredAnswer {
+function toStoredAnswer(answer: ServiceAnswer): StoredAnswer {
   return {
     status: answer.status,
     contentType: answer.headers['content-type'] ?? 'application/octet-stream',
@@ -265,8 +271,8 @@
   };
 }
 
-function applyKeptLimit(answer: StoredAnswer): StoredAnswer {
-  const isTooLarge = (answer.body?.length ?? 0) > MAX_KEPT_BYTES;
+function applySizeLimit(answer: StoredAnswer): StoredAnswer {
+  const isTooLarge = (answer.body?.length ?? 0) > MAX_STORED_BYTES;
   return isTooLarge ? {...answer, body: undefined} : answer;
 }
 
@@ -294,11 +300,11 @@
   signal: AbortSignal,
 ): Promise<Value> {
   return new Promise((resolve, reject) => {
-    const stopWaiting = () => reject(signal.reason);
-    signal.addEventListener('abort', stopWaiting, {once: true});
-    if (signal.aborted) stopWaiting();
+    const handleAbort = () => reject(signal.reason);
+    signal.addEventListener('abort', handleAbort, {once: true});
+    if (signal.aborted) handleAbort();
     promise.then(resolve, reject).finally(() => {
-      signal.removeEventListener('abort', stopWaiting);
+      signal.removeEventListener('abort', handleAbort);
     });
   });
 }
--- a/packages/pipeline/src/group-directory.ts
+++ b/packages/pipeline/src/group-directory.ts
@@ -9,19 +9,22 @@
 import type {GroupSettings} from './group-settings.ts';
 import {UpstreamGroup} from './upstream-group.ts';
 
-/** What the directory needs to know beside the configuration. */
+/** What the directory needs beside the configuration. */
 export interface GroupDirectoryOptions {
   readonly instanceId: string;
   /** Most upstreams of one pool that this instance uses. */
   readonly subsetSize: number;
-  /** Returns how many instances are live, this one counted. */
+  /** Returns the number of live instances, including this one. */
   readonly getInstanceCount: () => number;
   readonly healthPolicy?: HealthPolicy;
-  /** Whether limits adapt to what is observed. */
+  /** Whether concurrency limits adapt to the observed load. */
   readonly adaptLimits: boolean;
 }
 
-/** All pools and services, by name; outlives each single configuration. */
+/**
+ * All pools and services by name. A group keeps its state when the
+ * configuration changes.
+ */
 export class GroupDirectory {
   private readonly clock: Clock;
   private readonly logger: EventLogger;
@@ -39,7 +42,7 @@
     this.options = options;
   }
 
-  /** Takes the pools and services of a newer configuration. */
+  /** Applies the pools and services of a newer configuration; drops groups that it lacks. */
   setConfiguration(pools: readonly Pool[], services: readonly Service[]): void {
     this.setGroups(this.pools, pools.map(createPoolSettings));
     this.setGroups(this.services, services.map(createServiceSettings));
@@ -79,18 +82,24 @@
     const {instanceId, subsetSize, getInstanceCount} = this.options;
     const policy = this.options.healthPolicy ?? DEFAULT_HEALTH_POLICY;
     const upstreams = chooseSubset(instanceId, settings.upstreams, subsetSize);
-    const own = {...settings, upstreams};
-    const known = groups.get(settings.name);
-    if (known) {
-      known.setSettings(own, getInstanceCount());
+    const subsetSettings = {...settings, upstreams};
+    const existing = groups.get(settings.name);
+    if (existing) {
+      existing.setSettings(subsetSettings, getInstanceCount());
       return;
     }
     groups.set(
       settings.name,
-      new UpstreamGroup(own, getInstanceCount(), this.clock, this.logger, {
-        healthPolicy: policy,
-        adaptLimits: this.options.adaptLimits,
-      }),
+      new UpstreamGroup(
+        subsetSettings,
+        getInstanceCount(),
+        this.clock,
+        this.logger,
+        {
+          healthPolicy: policy,
+          adaptLimits: this.options.adaptLimits,
+        },
+      ),
     );
   }
 }
--- a/packages/pipeline/src/load-poller.ts
+++ b/packages/pipeline/src/load-poller.ts
@@ -14,24 +14,24 @@
 import type {UpstreamGroup} from './upstream-group.ts';
 
 /**
- * Milliseconds for an upstream's report; an older one says nothing of its
- * load.
+ * Milliseconds for one call to an upstream. A later report no longer describes
+ * its current load.
  */
-const TIMEOUT_MS = 800;
+const REPORT_TIMEOUT_MS = 800;
 /** HTTP status. */
 const OK = 200;
 
 const cacheEventsSchema = z.object({events: z.array(cacheEventSchema)});
 
-/** Reads load reports and cache events from this instance's upstreams. */
+/** Polls load reports and cache events of this instance's upstreams. */
 export class LoadPoller {
   private readonly groups: GroupDirectory;
   private readonly client: HttpClient;
   private readonly clock: Clock;
   private readonly task: RepeatingTask;
-  private readonly reading = new AbortController();
+  private readonly abortController = new AbortController();
 
-  /** @param pollMs Milliseconds between two readings of each upstream. */
+  /** @param pollMs Milliseconds between two polls of each upstream. */
   constructor(
     groups: GroupDirectory,
     client: HttpClient,
@@ -55,7 +55,7 @@
 
   stop(): void {
     this.task.stop();
-    this.reading.abort(new Error('stopped'));
+    this.abortController.abort(new Error('stopped'));
   }
 
   private async pollAll(): Promise<void> {
@@ -69,8 +69,8 @@
     await Promise.all(polls);
   }
 
-  // Services need not report; an upstream that does not answer is judged by
-  // the work it fails, not by its reports.
+  // Services need not report their load. An upstream that does not answer the
+  // poll stays a candidate; only failed attempts count against it.
   private async pollUpstream(
     group: UpstreamGroup,
     upstream: Upstream,
@@ -80,9 +80,9 @@
     );
     if (report.success) group.recordReport(upstream.id, report.data);
     if (!report.data?.tokensPerSecond) return;
-    const after = group.getLastCacheSequence(upstream.id);
+    const lastSequence = group.getLastCacheSequence(upstream.id);
     const events = cacheEventsSchema.safeParse(
-      await this.readPath(upstream, `/cache-events?after=${after}`),
+      await this.readPath(upstream, `/cache-events?after=${lastSequence}`),
     );
     if (events.success)
       group.recordCacheEvents(upstream.id, events.data.events);
@@ -91,9 +91,9 @@
   private async readPath(upstream: Upstream, path: string): Promise<unknown> {
     const deadline = createDeadlineSignal(
       this.clock,
-      TIMEOUT_MS,
+      REPORT_TIMEOUT_MS,
       () => new Error('report is late'),
-      this.reading.signal,
+      this.abortController.signal,
     );
     try {
       const response = await this.client.send(upstream.address, {
--- a/packages/pipeline/src/pipeline-runner.ts
+++ b/packages/pipeline/src/pipeline-runner.ts
@@ -12,7 +12,7 @@
 } from './stage-calls.ts';
 import type {UpstreamGroup} from './upstream-group.ts';
 
-/** What a pipeline is asked for. */
+/** Input of a pipeline run. */
 export interface PipelineRequest {
   readonly template: Template;
   readonly pipeline: WorkspacePipeline;
@@ -32,9 +32,9 @@
   }
 
   /**
-   * Runs all stages; generated text goes to the sink as it comes.
+   * Runs all stages; generated text is pushed to the sink as it arrives.
    *
-   * @throws HollowstackError that ends the request.
+   * @throws HollowstackError if a stage fails or is refused.
    */
   async runPipeline(
     request: PipelineRequest,
@@ -50,10 +50,10 @@
         await this.runStage(stage, laterMs, request, context, state, sink),
       );
     }
-    const last = request.template.stages.at(-1)!.kind;
+    const lastKind = request.template.stages.at(-1)!.kind;
     return {
-      ...(last === 'encode' ? {embedding: state.embedding} : {}),
-      ...(last === 'retrieve' || last === 'rerank'
+      ...(lastKind === 'encode' ? {embedding: state.embedding} : {}),
+      ...(lastKind === 'retrieve' || lastKind === 'rerank'
         ? {documents: state.documents}
         : {}),
       stages: timings,
@@ -112,13 +112,13 @@
     for (const stage of stages) {
       const group = this.getGroup(stage);
       const {expectedMs} = group.getSettings();
-      const work =
+      const units =
         stage.kind === 'generate'
           ? request.pipeline.maxTokens / TOKENS_PER_WORK_UNIT
           : 1;
       totalMs += group.durations.getMeanMs(
         getStageKey(stage, context),
-        expectedMs * work,
+        expectedMs * units,
       );
     }
     return totalMs;
@@ -134,11 +134,12 @@
   }
 }
 
-/** What work that ran out of its deadline would have taken, over what it got. */
-const UNFINISHED_FACTOR = 1.3;
+/** Assumed ratio of the full duration of unfinished work to the time it ran. */
+const UNFINISHED_DURATION_FACTOR = 1.3;
 
-// Were only finished work to count, a class of which one in ten makes it would
-// look as if all could.
+// Counts work that exceeded its deadline as well. If only finished work
+// counted, a class that rarely meets its deadline would look as if it always
+// could.
 function recordUnfinished(
   group: UpstreamGroup,
   stage: Stage,
@@ -146,12 +147,12 @@
   error: unknown,
   elapsedMs: number,
 ): void {
-  const isLate =
+  const isDeadlineExceeded =
     error instanceof HollowstackError && error.kind === 'deadline-exceeded';
-  if (!isLate) return;
+  if (!isDeadlineExceeded) return;
   group.durations.recordMs(
     getStageKey(stage, context),
-    elapsedMs * UNFINISHED_FACTOR,
+    elapsedMs * UNFINISHED_DURATION_FACTOR,
   );
 }
 
