--- a/packages/claims/src/claim-store.ts
+++ b/packages/claims/src/claim-store.ts
@@ -25,7 +25,7 @@
 }
 
 /** What came of asking for a claim. */
-export type ClaimVerdict =
+export type ClaimResult =
   | {readonly type: 'granted'; readonly claim: HeldClaim}
   | {readonly type: 'taken'; readonly claim: HeldClaim};
 
@@ -38,7 +38,7 @@
  * Milliseconds between two leases for claims, so that a lease holds an hour of
  * claims.
  */
-const RENEW_RETENTION_MS = 60 * 60 * 1000;
+const LEASE_REUSE_MS = 60 * 60 * 1000;
 /**
  * Milliseconds before a failed call to the store is tried again; some forty
  * answers of a healthy one.
@@ -72,7 +72,7 @@
   async acquireClaim(
     identity: ClaimIdentity,
     giveUpAtMs: number,
-  ): Promise<ClaimVerdict> {
+  ): Promise<ClaimResult> {
     while (true) {
       try {
         return await this.acquireOnce(identity);
@@ -119,7 +119,7 @@
     return keyValue && toHeldClaim(keyValue);
   }
 
-  private async acquireOnce(identity: ClaimIdentity): Promise<ClaimVerdict> {
+  private async acquireOnce(identity: ClaimIdentity): Promise<ClaimResult> {
     const record = createRecord(identity);
     const leaseId = await this.getRetentionLease();
     const result = await this.store.runTransaction({
@@ -174,8 +174,9 @@
   // clears them by itself a day later at the cost of one call.
   private async getRetentionLease(): Promise<string> {
     const nowMs = this.clock.getNow();
-    const held = this.retentionLease;
-    if (held && nowMs - held.grantedAtMs < RENEW_RETENTION_MS) return held.id;
+    const current = this.retentionLease;
+    if (current && nowMs - current.grantedAtMs < LEASE_REUSE_MS)
+      return current.id;
     const {id} = await this.store.grantLease(RETENTION_MS);
     this.retentionLease = {id, grantedAtMs: nowMs};
     return id;
--- a/packages/claims/src/claimed-calls.ts
+++ b/packages/claims/src/claimed-calls.ts
@@ -36,7 +36,7 @@
  * Milliseconds for which outcomes are at hand without the store; longer than
  * any deadline.
  */
-const KEPT_OUTCOME_MS = 60_000;
+const OUTCOME_RETENTION_MS = 60_000;
 /**
  * Milliseconds before its deadline at which a call whose claim is not there is
  * refused.
@@ -49,8 +49,8 @@
  */
 export class ClaimedCalls {
   private readonly parts: ClaimedCallsParts;
-  private readonly local = new Map<string, LocalCall>();
-  private readonly unfinished = new Set<Promise<unknown>>();
+  private readonly localCalls = new Map<string, LocalCall>();
+  private readonly unfinishedWork = new Set<Promise<unknown>>();
 
   constructor(parts: ClaimedCallsParts) {
     this.parts = parts;
@@ -70,7 +70,7 @@
     runCall: () => Promise<CallOutcome>,
   ): Promise<StoredAnswer | undefined> {
     const running = this.runUnderClaim(identity, deadlineMs, runCall);
-    this.followToEnd(running);
+    this.addUnfinished(running);
     return running;
   }
 
@@ -83,7 +83,7 @@
     if (claim.record.requestId !== identity.requestId) {
       return this.answerResend(claim, identity, deadlineMs, runCall);
     }
-    return this.runHeld(claim, deadlineMs, runCall);
+    return this.runClaimed(claim, deadlineMs, runCall);
   }
 
   /** Tells another instance how a call of this one ended; waits for its end. */
@@ -92,7 +92,7 @@
     requestId: string,
     waitMs: number,
   ): Promise<CallOutcome | undefined> {
-    const call = this.local.get(claimKey);
+    const call = this.localCalls.get(claimKey);
     if (!call || call.requestId !== requestId) return undefined;
     return Promise.race([
       call.outcome,
@@ -102,8 +102,8 @@
 
   /** Resolves once every call has ended and is recorded; a planned stop waits for it. */
   async waitForRecording(): Promise<void> {
-    while (this.unfinished.size > 0) {
-      await Promise.allSettled(this.unfinished);
+    while (this.unfinishedWork.size > 0) {
+      await Promise.allSettled(this.unfinishedWork);
     }
   }
 
@@ -119,7 +119,7 @@
       if (!(error instanceof HollowstackError)) throw error;
       // The claim may yet stand or come to stand in the service. A resend that
       // finds it is told by this instance that the call did not run.
-      this.recordLocal(identity, Promise.resolve({type: 'not-run'}));
+      this.recordLocalCall(identity, Promise.resolve({type: 'not-run'}));
       throw new HollowstackError(
         error.kind,
         `the call was not run: its claim could not be made (${error.message})`,
@@ -128,7 +128,7 @@
     }
   }
 
-  private async runHeld(
+  private async runClaimed(
     claim: HeldClaim,
     deadlineMs: number,
     runCall: () => Promise<CallOutcome>,
@@ -140,7 +140,7 @@
       ? Promise.resolve({type: 'not-run'})
       : runCall();
     const {key, record} = claim;
-    this.recordLocal({key, requestId: record.requestId}, running);
+    this.recordLocalCall({key, requestId: record.requestId}, running);
     const outcome = await running;
     this.startRecording(claim, outcome);
     if (isLate) {
@@ -168,7 +168,7 @@
     return match(outcome)
       .with({type: 'finished'}, ({answer}) => answer)
       .with({type: 'not-run'}, () =>
-        this.takeOver(claim, identity, deadlineMs, runCall),
+        this.takeOverClaim(claim, identity, deadlineMs, runCall),
       )
       .with({type: 'unknown'}, undefined, () => {
         this.parts.recordUnknownOutcome(claim);
@@ -187,12 +187,12 @@
     const {clock, askOutcome, claims} = this.parts;
     const waitMs = Math.max(0, deadlineMs - clock.getNow() - CLAIM_MARGIN_MS);
     const {key, record} = claim;
-    const local = this.local.get(key);
-    const told =
-      local?.requestId === record.requestId
+    const localCall = this.localCalls.get(key);
+    const reported =
+      localCall?.requestId === record.requestId
         ? await this.findOutcome(key, record.requestId, waitMs)
         : await askOutcome(claim, waitMs);
-    if (told) return told;
+    if (reported) return reported;
     // The holder is gone or knows nothing; it may have recorded the outcome
     // before it went.
     const stored = await claims
@@ -201,55 +201,55 @@
     return stored?.record.outcome;
   }
 
-  private async takeOver(
+  private async takeOverClaim(
     claim: HeldClaim,
     identity: ClaimIdentity,
     deadlineMs: number,
     runCall: () => Promise<CallOutcome>,
   ): Promise<StoredAnswer | undefined> {
-    const held = await this.parts.claims
+    const replaced = await this.parts.claims
       .replaceClaim(claim, identity)
       .catch((error: unknown) => {
-        this.recordLocal(identity, Promise.resolve({type: 'not-run'}));
+        this.recordLocalCall(identity, Promise.resolve({type: 'not-run'}));
         throw error;
       });
-    if (held) return this.runHeld(held, deadlineMs, runCall);
+    if (replaced) return this.runClaimed(replaced, deadlineMs, runCall);
     throw new HollowstackError(
       'overloaded',
       'another resend of the call came first; send it again for its answer',
     );
   }
 
-  private recordLocal(
+  private recordLocalCall(
     {key, requestId}: Pick<ClaimIdentity, 'key' | 'requestId'>,
     outcome: Promise<CallOutcome>,
   ): void {
-    this.removeOldCalls();
+    this.removeExpiredCalls();
     const call: LocalCall = {requestId, outcome, endedAtMs: undefined};
-    this.local.delete(key);
-    this.local.set(key, call);
+    this.localCalls.delete(key);
+    this.localCalls.set(key, call);
     const markEnded = () => {
       call.endedAtMs = this.parts.clock.getNow();
     };
     outcome.then(markEnded, markEnded);
   }
 
-  private removeOldCalls(): void {
-    const oldestMs = this.parts.clock.getNow() - KEPT_OUTCOME_MS;
-    for (const [key, {endedAtMs}] of this.local) {
+  private removeExpiredCalls(): void {
+    const oldestMs = this.parts.clock.getNow() - OUTCOME_RETENTION_MS;
+    for (const [key, {endedAtMs}] of this.localCalls) {
       if (endedAtMs === undefined) continue;
       if (endedAtMs > oldestMs) return;
-      this.local.delete(key);
+      this.localCalls.delete(key);
     }
   }
 
   private startRecording(claim: HeldClaim, outcome: CallOutcome): void {
-    this.followToEnd(this.recordUntilDone(claim, outcome));
+    this.addUnfinished(this.recordUntilDone(claim, outcome));
   }
 
-  private followToEnd(work: Promise<unknown>): void {
-    const removeWork = () => this.unfinished.delete(work);
-    this.unfinished.add(work);
+  private addUnfinished(work: Promise<unknown>): void {
+    const removeWork = () => this.unfinishedWork.delete(work);
+    this.unfinishedWork.add(work);
     work.then(removeWork, removeWork);
   }
 
--- a/packages/claims/src/index.ts
+++ b/packages/claims/src/index.ts
@@ -2,7 +2,7 @@
 export {
   ClaimStore,
   type ClaimIdentity,
-  type ClaimVerdict,
+  type ClaimResult,
   type HeldClaim,
 } from './claim-store.ts';
 export {ClaimedCalls, type ClaimedCallsParts} from './claimed-calls.ts';
--- a/packages/clock/src/repeating-task.ts
+++ b/packages/clock/src/repeating-task.ts
@@ -2,7 +2,7 @@
 import {waitFor} from './waiting.ts';
 
 /** Share by which pauses differ, so that a fleet's rounds spread out. */
-const JITTER = 0.25;
+const JITTER_RATIO = 0.25;
 
 /** Runs a piece of work again and again, with a pause between, until stopped. */
 export class RepeatingTask {
@@ -31,7 +31,8 @@
     const {signal} = this.controller;
     while (!signal.aborted) {
       const pauseMs = await this.runOnce();
-      const delayMs = pauseMs * (1 - JITTER + 2 * JITTER * this.random());
+      const delayMs =
+        pauseMs * (1 - JITTER_RATIO + 2 * JITTER_RATIO * this.random());
       await waitFor(this.clock, delayMs, signal).catch(() => {});
     }
   }
--- a/packages/clock/src/system-clock.test.ts
+++ b/packages/clock/src/system-clock.test.ts
@@ -4,7 +4,7 @@
 import {SystemClock} from './index.ts';
 
 /** Milliseconds after which a clock looks again whether the machine was suspended. */
-const LOOK_MS = 10;
+const CHECK_MS = 10;
 
 /** Clocks of a machine that can be suspended and have its time of day set. */
 function createMachine() {
@@ -35,7 +35,7 @@
   };
   /** Lets time pass until the clock looks again, and reads it. */
   const readNext = () => {
-    machine.advance(LOOK_MS);
+    machine.advance(CHECK_MS);
     return clock.getNow();
   };
   return {machine, clock, suspensions, schedule, readNext};
@@ -45,9 +45,9 @@
   const {machine, clock, suspensions, readNext} = createClock(t);
   const beforeMs = clock.getNow();
   machine.pause(3000);
-  assert.equal(readNext() - beforeMs, 3000 + LOOK_MS);
+  assert.equal(readNext() - beforeMs, 3000 + CHECK_MS);
   assert.deepEqual(suspensions, [3000]);
-  assert.equal(readNext() - beforeMs, 3000 + 2 * LOOK_MS);
+  assert.equal(readNext() - beforeMs, 3000 + 2 * CHECK_MS);
   assert.deepEqual(suspensions, [3000]);
 });
 
@@ -74,7 +74,7 @@
     const {machine, clock, suspensions, readNext} = createClock(t);
     const beforeMs = clock.getNow();
     machine.setWallClock(stepMs);
-    assert.equal(readNext() - beforeMs, LOOK_MS);
+    assert.equal(readNext() - beforeMs, CHECK_MS);
     assert.deepEqual(suspensions, []);
   }
 });
@@ -96,7 +96,7 @@
   const bootMs = machine.getBootMs;
   machine.getBootMs = () => bootMs() + 60_000;
   machine.setWallClock(2400);
-  assert.equal(readNext() - beforeMs, LOOK_MS);
+  assert.equal(readNext() - beforeMs, CHECK_MS);
   assert.deepEqual(suspensions, []);
 });
 
--- a/packages/config-log/src/check-configuration.ts
+++ b/packages/config-log/src/check-configuration.ts
@@ -27,12 +27,12 @@
     objects: [...objects],
   });
   return [
-    ...findDoubleNames(objects),
+    ...findDuplicateNames(objects),
     ...objects.flatMap(object => checkObject(object, configuration)),
   ];
 }
 
-function findDoubleNames(objects: readonly ConfigObject[]): Finding[] {
+function findDuplicateNames(objects: readonly ConfigObject[]): Finding[] {
   const seen = new Set<string>();
   const findings: Finding[] = [];
   for (const object of objects) {
@@ -207,11 +207,11 @@
 
 function checkUpstreams(
   kind: 'pool' | 'service',
-  holder: Pool | Service,
+  poolOrService: Pool | Service,
 ): Finding[] {
-  const place = getObjectId(kind, holder.name);
-  const ids = holder.upstreams.map(upstream => upstream.id);
-  const addresses = holder.upstreams.map(upstream => upstream.address);
+  const place = getObjectId(kind, poolOrService.name);
+  const ids = poolOrService.upstreams.map(upstream => upstream.id);
+  const addresses = poolOrService.upstreams.map(upstream => upstream.address);
   const findings: Finding[] = [];
   if (new Set(ids).size < ids.length) {
     findings.push({
@@ -227,22 +227,26 @@
       advice: 'keep one of the two',
     });
   }
-  return [...findings, ...checkPlacement(holder, place)];
+  return [...findings, ...checkPlacement(poolOrService, place)];
 }
 
-function checkPlacement(holder: Pool | Service, place: string): Finding[] {
-  const placement = 'placement' in holder ? holder.placement : undefined;
+function checkPlacement(
+  poolOrService: Pool | Service,
+  place: string,
+): Finding[] {
+  const placement =
+    'placement' in poolOrService ? poolOrService.placement : undefined;
   if (!placement) return [];
   const copies = placement.targets.reduce(
     (sum, target) => sum + target.copies,
     0,
   );
-  const room = holder.upstreams.length * placement.modelsPerEngine;
-  if (copies <= room) return [];
+  const capacity = poolOrService.upstreams.length * placement.modelsPerEngine;
+  if (copies <= capacity) return [];
   return [
     {
       place: `${place}.placement`,
-      message: `the targets ask for ${copies} copies, the engines have room for ${room}`,
+      message: `the targets ask for ${copies} copies, the engines have room for ${capacity}`,
       advice: 'ask for fewer copies, or raise modelsPerEngine',
     },
   ];
--- a/packages/config-log/src/follower.ts
+++ b/packages/config-log/src/follower.ts
@@ -114,7 +114,7 @@
     for (let attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt++) {
       const head = await readHead(this.store);
       if (!head) return;
-      if (!this.isNews(head)) return;
+      if (!this.isNewer(head)) return;
       const snapshot = await this.readSnapshot(head);
       if (!snapshot) continue;
       this.holder.offerSnapshot(snapshot, 'store');
@@ -124,15 +124,15 @@
 
   // An offer of an older or a forked head is made without its objects: the
   // holder only looks at the head to refuse it.
-  private isNews(head: Head): boolean {
+  private isNewer(head: Head): boolean {
     if (head.revision > this.holder.getRevision()) return true;
     this.holder.offerSnapshot({head, objects: []}, 'store');
     return false;
   }
 
   private async readSnapshot(head: Head) {
-    const known = this.holder.getCurrent();
-    if (known) return readChangedSnapshot(this.store, known.snapshot, head);
+    const current = this.holder.getCurrent();
+    if (current) return readChangedSnapshot(this.store, current.snapshot, head);
     const {snapshot} = await readStoredSnapshot(this.store);
     return snapshot;
   }
--- a/packages/config-log/src/publish-plan.ts
+++ b/packages/config-log/src/publish-plan.ts
@@ -74,11 +74,11 @@
   request: Pick<PublishRequest, 'changeId' | 'author'>,
   nowMs: number,
 ): PublishPlan {
-  const kept = new Set(
+  const inForceIds = new Set(
     inForce.objects.map(({kind, value}) => getObjectId(kind, value.name)),
   );
   const deletions = stored.head.objects.filter(
-    ({kind, name}) => !kept.has(getObjectId(kind, name)),
+    ({kind, name}) => !inForceIds.has(getObjectId(kind, name)),
   );
   const revision = Math.max(stored.head.revision, inForce.head.revision);
   const base: Head = {...inForce.head, revision};
@@ -163,7 +163,7 @@
   const changed = writes.map(({kind, value}) => getObjectId(kind, value.name));
   const removed = deletions.map(({kind, name}) => getObjectId(kind, name));
   const touched = new Set([...changed, ...removed]);
-  const kept = base.objects.filter(
+  const unchanged = base.objects.filter(
     ({kind, name}) => !touched.has(getObjectId(kind, name)),
   );
   const written = writes.map(({kind, value}) => ({
@@ -171,7 +171,7 @@
     name: value.name,
     version: revision,
   }));
-  const head = {revision, changeId, objects: [...kept, ...written]};
+  const head = {revision, changeId, objects: [...unchanged, ...written]};
   return {
     head,
     record: {revision, changeId, author, atMs: nowMs, changed, removed},
@@ -191,8 +191,8 @@
     ...writes.map(({kind, value}) => getObjectId(kind, value.name)),
     ...deletions.map(({kind, name}) => getObjectId(kind, name)),
   ]);
-  const kept = objects.filter(
+  const unchanged = objects.filter(
     ({kind, value}) => !touched.has(getObjectId(kind, value.name)),
   );
-  return [...kept, ...writes];
+  return [...unchanged, ...writes];
 }
--- a/packages/config-log/src/publisher.ts
+++ b/packages/config-log/src/publisher.ts
@@ -32,7 +32,7 @@
 
 // Records older than this many revisions are deleted with each change, so that
 // the store does not grow with the project's age. A day brings 680 changes.
-const KEPT_CHANGES = 1000;
+const RETAINED_CHANGES = 1000;
 /** Attempts to publish beside others who change other objects. */
 const MAX_ATTEMPTS = 8;
 /** Milliseconds before a publish that met another one is tried again. */
@@ -144,7 +144,7 @@
       ],
       onSuccess: [
         ...createWrites(plan),
-        ...(await this.createPruning(plan.head.revision)),
+        ...(await this.createPruneOperations(plan.head.revision)),
       ],
     });
     if (!result.succeeded) return undefined;
@@ -182,9 +182,9 @@
     };
   }
 
-  private async createPruning(revision: number): Promise<Operation[]> {
-    const oldKey = getChangeKey(revision - KEPT_CHANGES);
-    if (revision <= KEPT_CHANGES) return [];
+  private async createPruneOperations(revision: number): Promise<Operation[]> {
+    const oldKey = getChangeKey(revision - RETAINED_CHANGES);
+    if (revision <= RETAINED_CHANGES) return [];
     const found = await this.store.readRange(createSingleKeyRange(oldKey));
     const keyValue = found.keyValues.at(0);
     if (!keyValue) return [];
--- a/packages/config-log/src/stored-snapshot.ts
+++ b/packages/config-log/src/stored-snapshot.ts
@@ -85,12 +85,15 @@
     ],
   });
   const [headRead, ...objectReads] = result.reads;
-  const readHead = headRead.keyValues.at(0);
-  if (!readHead) return undefined;
-  if (parseHead(readHead.value).changeId !== head.changeId) return undefined;
-  const read = objectReads.flatMap(({keyValues}) => keyValues.map(parseObject));
-  if (read.length < changed.length) return undefined;
-  return {head, objects: joinObjects(known.objects, read, head)};
+  const headKeyValue = headRead.keyValues.at(0);
+  if (!headKeyValue) return undefined;
+  if (parseHead(headKeyValue.value).changeId !== head.changeId)
+    return undefined;
+  const changedObjects = objectReads.flatMap(({keyValues}) =>
+    keyValues.map(parseObject),
+  );
+  if (changedObjects.length < changed.length) return undefined;
+  return {head, objects: mergeObjects(known.objects, changedObjects, head)};
 }
 
 /** Reads the head; undefined where none was ever written. */
@@ -121,13 +124,13 @@
   return configObjectSchema.parse(JSON.parse(keyValue.value));
 }
 
-function joinObjects(
+function mergeObjects(
   known: readonly ConfigObject[],
-  read: readonly ConfigObject[],
+  changed: readonly ConfigObject[],
   head: Head,
 ): ConfigObject[] {
   const byId = new Map<string, ConfigObject>();
-  for (const object of [...known, ...read]) {
+  for (const object of [...known, ...changed]) {
     byId.set(getObjectId(object.kind, object.value.name), object);
   }
   return head.objects
--- a/packages/result-checkpoint/src/checkpoint-writer.ts
+++ b/packages/result-checkpoint/src/checkpoint-writer.ts
@@ -21,13 +21,13 @@
  * Milliseconds between two checkpoints. Results are kept for about a second, half of it
  * in a call, when they have no handle yet; each checkpoint costs a call to the store.
  */
-const CHECKPOINT_MS = 400;
+const CHECKPOINT_INTERVAL_MS = 400;
 
 /** Writes the results that this instance holds to the store, for as long as it holds some. */
 export class CheckpointWriter {
   private readonly parts: CheckpointWriterParts;
   private readonly task: RepeatingTask;
-  private written = encodeCheckpoint([]);
+  private writtenText = encodeCheckpoint([]);
   /** Store history to which `written` applies. */
   private historyId = '';
   private hasFailed = false;
@@ -36,7 +36,7 @@
     this.parts = parts;
     this.task = new RepeatingTask(parts.clock, parts.random, async () => {
       await this.writeChanges();
-      return CHECKPOINT_MS;
+      return CHECKPOINT_INTERVAL_MS;
     });
   }
 
@@ -53,13 +53,13 @@
     const {store, self, listStoredResults, logger} = this.parts;
     const text = encodeCheckpoint(listStoredResults());
     const historyId = store.getHistoryId();
-    if (text === this.written && historyId === this.historyId) return;
+    if (text === this.writtenText && historyId === this.historyId) return;
     try {
       await store.runTransaction({
         comparisons: [],
         onSuccess: [{type: 'put', key: getCheckpointKey(self), value: text}],
       });
-      this.written = text;
+      this.writtenText = text;
       this.historyId = historyId;
       this.hasFailed = false;
     } catch (error) {
--- a/packages/result-checkpoint/src/orphan-plan.ts
+++ b/packages/result-checkpoint/src/orphan-plan.ts
@@ -11,18 +11,18 @@
 /**
  * Plans which results can be given back.
  *
- * @param starts When each known instance started, in Unix milliseconds. One that is
+ * @param startTimes When each known instance started, in Unix milliseconds. One that is
  * earlier than an owner's is a list that is behind, and says nothing.
  */
 export function assembleOrphanPlan(
   results: readonly OwnedResult[],
-  starts: ReadonlyMap<string, number>,
+  startTimes: ReadonlyMap<string, number>,
 ): OrphanPlan {
   const orphans: OwnedResult[] = [];
   const others: OwnedResult[] = [];
   for (const result of results) {
     const {instance, startedAtMs} = result.owner;
-    const isOrphan = (starts.get(instance) ?? -Infinity) > startedAtMs;
+    const isOrphan = (startTimes.get(instance) ?? -Infinity) > startedAtMs;
     (isOrphan ? orphans : others).push(result);
   }
   return {orphans, others};
--- a/packages/result-checkpoint/src/orphan-releaser.ts
+++ b/packages/result-checkpoint/src/orphan-releaser.ts
@@ -32,10 +32,10 @@
  * Checkpoints taken out at once, at most: stores bound the steps of a transaction, the
  * strictest seen to 32. What is left is taken out by the next coordinator.
  */
-const MAX_REMOVALS = 30;
+const MAX_REMOVALS_PER_TRANSACTION = 30;
 
 /** The checkpoints of other lives. */
-interface ReadCheckpoints {
+interface OtherCheckpoints {
   readonly keys: readonly string[];
   readonly results: readonly OwnedResult[];
 }
@@ -44,12 +44,12 @@
  * Milliseconds between two looks: whether this instance has come to coordinate, and
  * whether further owners have started again. A fleet of 75 is back within 0.5 s.
  */
-const LOOK_MS = 100;
+const POLL_INTERVAL_MS = 100;
 /**
  * Milliseconds after which what is left of a checkpoint is not looked at any more: its
  * results have run out at their upstreams. Twice the 4 s of the deployments seen.
  */
-const GIVE_UP_MS = 8000;
+const RESULT_EXPIRY_MS = 8000;
 
 /**
  * Gives back what a lost coordinator held for instances that were lost as well. Each
@@ -70,7 +70,7 @@
       const isCoordinator = this.parts.isCoordinator();
       if (isCoordinator && !wasCoordinator) await this.releaseOrphans();
       wasCoordinator = isCoordinator;
-      if (!(await this.waitForNextLook())) return;
+      if (!(await this.waitForNextPoll())) return;
     }
   }
 
@@ -80,25 +80,25 @@
 
   private async releaseOrphans(): Promise<void> {
     const {clock, isCoordinator, listStarts} = this.parts;
-    const untilMs = clock.getNow() + GIVE_UP_MS;
-    let read: ReadCheckpoints | undefined;
-    let left: readonly OwnedResult[] = [];
+    const untilMs = clock.getNow() + RESULT_EXPIRY_MS;
+    let checkpoints: OtherCheckpoints | undefined;
+    let remaining: readonly OwnedResult[] = [];
     while (isCoordinator() && clock.getNow() < untilMs) {
-      if (!read) {
-        read = await this.readCheckpoints();
-        left = read?.results ?? [];
+      if (!checkpoints) {
+        checkpoints = await this.readCheckpoints();
+        remaining = checkpoints?.results ?? [];
       }
-      const {orphans, others} = assembleOrphanPlan(left, listStarts());
-      this.releaseListed(orphans, others);
-      left = others;
-      if (read && left.length === 0) break;
-      if (!(await this.waitForNextLook())) return;
+      const {orphans, others} = assembleOrphanPlan(remaining, listStarts());
+      this.releaseAndLog(orphans, others);
+      remaining = others;
+      if (checkpoints && remaining.length === 0) break;
+      if (!(await this.waitForNextPoll())) return;
     }
     // Whoever stops to coordinate leaves them to the one that does.
-    if (read && isCoordinator()) await this.removeKeys(read.keys);
+    if (checkpoints && isCoordinator()) await this.removeKeys(checkpoints.keys);
   }
 
-  private releaseListed(
+  private releaseAndLog(
     orphans: readonly OwnedResult[],
     others: readonly OwnedResult[],
   ): void {
@@ -111,7 +111,7 @@
   }
 
   // Undefined where the store does not answer: it is asked again.
-  private async readCheckpoints(): Promise<ReadCheckpoints | undefined> {
+  private async readCheckpoints(): Promise<OtherCheckpoints | undefined> {
     const range = createPrefixRange(CHECKPOINT_PREFIX);
     const ownKey = getCheckpointKey(this.parts.self);
     try {
@@ -139,7 +139,7 @@
 
   private async removeKeys(keys: readonly string[]): Promise<void> {
     if (keys.length === 0) return;
-    const onSuccess = keys.slice(0, MAX_REMOVALS).map(key => ({
+    const onSuccess = keys.slice(0, MAX_REMOVALS_PER_TRANSACTION).map(key => ({
       type: 'delete' as const,
       range: {start: key},
     }));
@@ -157,11 +157,13 @@
   }
 
   // Resolves to whether there is a next look.
-  private async waitForNextLook(): Promise<boolean> {
+  private async waitForNextPoll(): Promise<boolean> {
     const {signal} = this.controller;
-    await waitFor(this.parts.clock, LOOK_MS, signal).catch((error: unknown) => {
-      if (!signal.aborted) throw error;
-    });
+    await waitFor(this.parts.clock, POLL_INTERVAL_MS, signal).catch(
+      (error: unknown) => {
+        if (!signal.aborted) throw error;
+      },
+    );
     return !signal.aborted;
   }
 }
--- a/packages/result-checkpoint/src/result-checkpoint.test.ts
+++ b/packages/result-checkpoint/src/result-checkpoint.test.ts
@@ -37,7 +37,7 @@
 /** The keys of a store that may be away. */
 class KeyStore {
   readonly values = new Map<string, string>();
-  isAway = false;
+  isUnavailable = false;
   writeCount = 0;
 
   getHistoryId(): string {
@@ -45,7 +45,7 @@
   }
 
   async readRange({start}: KeyRange): Promise<RangeResult> {
-    this.checkAway();
+    this.checkAvailability();
     const keyValues = [...this.values]
       .filter(([key]) => key.startsWith(start))
       .map(([key, value]) => ({key, value, modRevision: 1, createRevision: 1}));
@@ -53,7 +53,7 @@
   }
 
   async runTransaction({onSuccess}: Transaction): Promise<TransactionResult> {
-    this.checkAway();
+    this.checkAvailability();
     this.writeCount += 1;
     for (const step of onSuccess) {
       if (step.type === 'put') this.values.set(step.key, step.value);
@@ -62,13 +62,13 @@
     return {succeeded: true, storeId: 's', storeRevision: 1, reads: []};
   }
 
-  private checkAway(): void {
-    if (this.isAway) throw new StoreError('away', 'none');
+  private checkAvailability(): void {
+    if (this.isUnavailable) throw new StoreError('away', 'none');
   }
 }
 
 // Pauses without jitter.
-function getMiddle(): number {
+function getHalf(): number {
   return 0.5;
 }
 
@@ -88,19 +88,19 @@
   startedAtMs: number,
 ) {
   const logger = new ListingLogger();
-  const held: OwnedResult[] = [];
+  const stored: OwnedResult[] = [];
   const released: string[] = [];
   const starts = new Map<string, number>();
   const parts = {
     clock,
     logger,
     store,
-    random: getMiddle,
+    random: getHalf,
     self: {instance: 'c', startedAtMs},
   };
   const writer = new CheckpointWriter({
     ...parts,
-    listStoredResults: () => held,
+    listStoredResults: () => stored,
   });
   const releaser = new OrphanReleaser({
     ...parts,
@@ -117,13 +117,16 @@
     writer.stop();
     releaser.stop();
   };
-  return {logger, held, released, starts, start, stop};
+  return {logger, stored, released, starts, start, stop};
 }
 
 /** Has a coordinator hold results of two instances and lose its process. */
 async function runUntilLost(store: KeyStore, clock: ManualClock) {
   const lost = createCoordinator(store, clock, 1000);
-  lost.held.push(createResult('h1', 'x', 1000), createResult('h2', 'y', 1000));
+  lost.stored.push(
+    createResult('h1', 'x', 1000),
+    createResult('h2', 'y', 1000),
+  );
   lost.start();
   await clock.advance(1000);
   lost.stop();
@@ -193,13 +196,13 @@
 test('a store that is away as the next one starts is asked again', async () => {
   const [store, clock] = [new KeyStore(), new ManualClock(0)];
   await runUntilLost(store, clock);
-  store.isAway = true;
+  store.isUnavailable = true;
   const next = createCoordinator(store, clock, 3000);
   next.starts.set('x', 3000).set('y', 3000);
   next.start();
   await clock.advance(1000);
   assert.deepEqual(next.released, []);
-  store.isAway = false;
+  store.isUnavailable = false;
   await clock.advance(300);
   assert.deepEqual(next.released, ['h1', 'h2']);
   next.stop();
@@ -226,8 +229,8 @@
 
 test('more checkpoints than a transaction takes are taken out by several coordinators', async () => {
   const [store, clock] = [new KeyStore(), new ManualClock(0)];
-  for (let life = 1; life <= 40; life++) {
-    store.values.set(`hollowstack/results/d/${life}`, '{"groups":[]}');
+  for (let incarnation = 1; incarnation <= 40; incarnation++) {
+    store.values.set(`hollowstack/results/d/${incarnation}`, '{"groups":[]}');
   }
   const counts: number[] = [];
   for (const startedAtMs of [1000, 2000]) {
@@ -246,10 +249,10 @@
   writer.start();
   await clock.advance(5000);
   assert.equal(store.writeCount, 0);
-  store.isAway = true;
-  writer.held.push(createResult('h1', 'x', 1000));
+  store.isUnavailable = true;
+  writer.stored.push(createResult('h1', 'x', 1000));
   await clock.advance(5000);
-  store.isAway = false;
+  store.isUnavailable = false;
   await clock.advance(5000);
   assert.equal(store.writeCount, 1);
   const failures = writer.logger.lines.filter(
--- a/packages/store/src/gateway-store.ts
+++ b/packages/store/src/gateway-store.ts
@@ -192,10 +192,9 @@
   effectOnFailure: StoreEffect,
 ): StoreError {
   if (error instanceof StoreError) return error;
-  const neverLeft =
-    error instanceof TransportError && error.progress === 'none';
+  const isUnsent = error instanceof TransportError && error.progress === 'none';
   const message = error instanceof Error ? error.message : String(error);
-  return new StoreError(message, neverLeft ? 'none' : effectOnFailure, error);
+  return new StoreError(message, isUnsent ? 'none' : effectOnFailure, error);
 }
 
 function encodeRange(range: KeyRange): {key: string; range_end?: string} {
--- a/packages/store/src/instance-list.test.ts
+++ b/packages/store/src/instance-list.test.ts
@@ -17,9 +17,9 @@
 
 /** A list whose readings are answered by the test. */
 function createList() {
-  const readings: Array<(reading: RangeResult) => void> = [];
+  const pendingReads: Array<(reading: RangeResult) => void> = [];
   const store = {
-    readRange: () => new Promise(resolve => readings.push(resolve)),
+    readRange: () => new Promise(resolve => pendingReads.push(resolve)),
   } as unknown as KeyValueStore;
   const list = new InstanceList(store, new ManualClock(), getHalf);
   const answer = (storeRevision: number, ids: readonly string[]) => {
@@ -29,7 +29,7 @@
       modRevision: 1,
       createRevision: 1,
     }));
-    readings.shift()!({storeId: 's', storeRevision, keyValues});
+    pendingReads.shift()!({storeId: 's', storeRevision, keyValues});
   };
   const listIds = () =>
     list
--- a/packages/store/src/polled-watch.test.ts
+++ b/packages/store/src/polled-watch.test.ts
@@ -11,27 +11,35 @@
 } from './key-value-store.ts';
 import {PolledWatch, type WatchCall} from './polled-watch.ts';
 
-const MARGIN_MS = 400;
+const TIMEOUT_MARGIN_MS = 400;
 const LATENCY_MS = 4;
-const HEARTBEAT: KeyRange = {
+const FAST_RANGE: KeyRange = {
   ...createPrefixRange('fast/'),
-  watchTiming: {waitMs: 1000, batchDelayMs: 0, timeoutMarginMs: MARGIN_MS},
+  watchTiming: {
+    waitMs: 1000,
+    batchDelayMs: 0,
+    timeoutMarginMs: TIMEOUT_MARGIN_MS,
+  },
 };
-const SLOW: KeyRange = {
+const SLOW_RANGE: KeyRange = {
   ...createPrefixRange('slow/'),
-  watchTiming: {waitMs: 12_000, batchDelayMs: 0, timeoutMarginMs: MARGIN_MS},
+  watchTiming: {
+    waitMs: 12_000,
+    batchDelayMs: 0,
+    timeoutMarginMs: TIMEOUT_MARGIN_MS,
+  },
 };
 
 /** A store whose calls can hang on connections that have fallen silent. */
-class CallStore {
+class LongPollStore {
   latencyMs = LATENCY_MS;
-  isAway = false;
+  isUnavailable = false;
   refusal: StoreRefusalError | undefined;
   callCount = 0;
   private readonly clock: ManualClock;
   private readonly events: WatchEvent[] = [];
   private readonly waiting = new Set<() => void>();
-  private silentBelow = 0;
+  private silencedCallCount = 0;
 
   constructor(clock: ManualClock) {
     this.clock = clock;
@@ -45,14 +53,14 @@
 
   /** Silences the calls that wait now. */
   silenceCalls(): void {
-    this.silentBelow = this.callCount;
+    this.silencedCallCount = this.callCount;
   }
 
   async answerCall(call: WatchCall) {
     const number = this.callCount++;
     const endMs = this.clock.getNow() + call.waitMs;
     for (;;) {
-      const isSilent = this.isAway || number < this.silentBelow;
+      const isSilent = this.isUnavailable || number < this.silencedCallCount;
       if (isSilent) await waitFor(this.clock, Infinity, call.signal);
       if (this.refusal) throw this.refusal;
       const events = this.events.filter(
@@ -72,14 +80,14 @@
     endMs: number,
     signal: AbortSignal,
   ): Promise<void> {
-    const waking = new AbortController();
-    const wake = () => waking.abort();
+    const wakeController = new AbortController();
+    const wake = () => wakeController.abort();
     this.waiting.add(wake);
     const leftMs = endMs - this.clock.getNow();
     await waitFor(
       this.clock,
       leftMs,
-      AbortSignal.any([signal, waking.signal]),
+      AbortSignal.any([signal, wakeController.signal]),
     ).catch(() => signal.throwIfAborted());
     this.waiting.delete(wake);
   }
@@ -87,21 +95,21 @@
 
 function startWatch(t: TestContext, ranges: readonly KeyRange[]) {
   const clock = new ManualClock();
-  const store = new CallStore(clock);
+  const store = new LongPollStore(clock);
   const watch = new PolledWatch({
     clock,
     logger: new SilentEventLogger(),
     callStore: call => store.answerCall(call),
   });
-  const ending = new AbortController();
-  t.after(() => ending.abort(new Error('done')));
+  const endController = new AbortController();
+  t.after(() => endController.abort(new Error('done')));
   const keys: string[] = [];
   const progress = new Map<string, number>();
   const read = async () => {
     const changes = watch.watchRanges(
       ranges,
       0,
-      ending.signal,
+      endController.signal,
       ({start, knownUntilMs}) => progress.set(start, knownUntilMs),
     );
     for await (const events of changes) {
@@ -109,33 +117,33 @@
     }
   };
   const failed = read().catch((error: unknown) => error);
-  return {clock, store, watch, keys, progress, failed, ending};
+  return {clock, store, watch, keys, progress, failed, endController};
 }
 
 test('a call whose connection fell silent is made again, and no change is missed', async t => {
-  const {clock, store, keys} = startWatch(t, [HEARTBEAT]);
+  const {clock, store, keys} = startWatch(t, [FAST_RANGE]);
   await clock.advance(100);
   store.silenceCalls();
   store.put('fast/a');
   store.put('fast/b');
-  await clock.advance(1000 + MARGIN_MS + LATENCY_MS);
+  await clock.advance(1000 + TIMEOUT_MARGIN_MS + LATENCY_MS);
   assert.deepEqual(keys, ['fast/a', 'fast/b']);
 });
 
 test('the heartbeat of one range finds the silent connections of the others', async t => {
-  const {clock, store, keys} = startWatch(t, [HEARTBEAT, SLOW]);
+  const {clock, store, keys} = startWatch(t, [FAST_RANGE, SLOW_RANGE]);
   await clock.advance(100);
   store.silenceCalls();
   store.put('slow/a');
-  await clock.advance(1000 + MARGIN_MS + LATENCY_MS);
+  await clock.advance(1000 + TIMEOUT_MARGIN_MS + LATENCY_MS);
   assert.deepEqual(keys, ['slow/a']);
 });
 
 test('a store that answers no second call in a row fails the watch', async t => {
-  const {clock, store, failed} = startWatch(t, [HEARTBEAT]);
+  const {clock, store, failed} = startWatch(t, [FAST_RANGE]);
   await clock.advance(100);
   const callsBefore = store.callCount;
-  store.isAway = true;
+  store.isUnavailable = true;
   await clock.advance(4000);
   assert.ok((await failed) instanceof Error);
   // The call that waits is one of the two.
@@ -143,7 +151,7 @@
 });
 
 test('a store that has lost its history fails the watch at once', async t => {
-  const {clock, store, failed} = startWatch(t, [HEARTBEAT]);
+  const {clock, store, failed} = startWatch(t, [FAST_RANGE]);
   await clock.advance(100);
   const callsBefore = store.callCount;
   store.refusal = new StoreRefusalError('answered 410', 'none');
@@ -154,7 +162,7 @@
 });
 
 test('a store that turns slow is not taken for one that is away', async t => {
-  const {clock, store, keys, failed} = startWatch(t, [HEARTBEAT]);
+  const {clock, store, keys, failed} = startWatch(t, [FAST_RANGE]);
   let hasFailed = false;
   void failed.then(() => (hasFailed = true));
   for (const latencyMs of [200, 600, 900, 4]) {
@@ -168,16 +176,19 @@
 });
 
 test('a watch that is given up ends', async t => {
-  const {clock, failed, ending} = startWatch(t, [HEARTBEAT, SLOW]);
+  const {clock, failed, endController} = startWatch(t, [
+    FAST_RANGE,
+    SLOW_RANGE,
+  ]);
   await clock.advance(100);
   const reason = new Error('given up');
-  ending.abort(reason);
+  endController.abort(reason);
   await clock.advance(1);
   assert.equal(await failed, reason);
 });
 
 test('the first call of a watch asks for an answer soon, those that follow wait', async t => {
-  const {clock, store} = startWatch(t, [SLOW]);
+  const {clock, store} = startWatch(t, [SLOW_RANGE]);
   await clock.advance(100);
   assert.equal(store.callCount, 2);
   await clock.advance(5000);
@@ -185,7 +196,7 @@
 });
 
 test('an answer without changes shows that there were none until its wait was over', async t => {
-  const {clock, progress} = startWatch(t, [HEARTBEAT]);
+  const {clock, progress} = startWatch(t, [FAST_RANGE]);
   const startMs = clock.getNow();
   await clock.advance(100);
   assert.equal(progress.get('fast/'), startMs + 50);
@@ -194,7 +205,7 @@
 });
 
 test('an answer with changes shows none that came after it was asked for', async t => {
-  const {clock, store, progress, keys} = startWatch(t, [HEARTBEAT]);
+  const {clock, store, progress, keys} = startWatch(t, [FAST_RANGE]);
   await clock.advance(100);
   const askedMs = progress.get('fast/')! + LATENCY_MS;
   await clock.advance(700);
@@ -208,11 +219,11 @@
   const confirmWithinMs = 1400;
   const {clock, store, progress} = startWatch(t, [
     {
-      ...HEARTBEAT,
+      ...FAST_RANGE,
       watchTiming: {
         waitMs: 1000,
         batchDelayMs: 600,
-        timeoutMarginMs: MARGIN_MS,
+        timeoutMarginMs: TIMEOUT_MARGIN_MS,
         confirmWithinMs,
       },
     },
@@ -231,11 +242,11 @@
 test('a refresh has changes at once, also while others are gathered, and interrupts no call that proves a connection', async t => {
   const {clock, store, watch, keys, progress} = startWatch(t, [
     {
-      ...HEARTBEAT,
+      ...FAST_RANGE,
       watchTiming: {
         waitMs: 1000,
         batchDelayMs: 600,
-        timeoutMarginMs: MARGIN_MS,
+        timeoutMarginMs: TIMEOUT_MARGIN_MS,
       },
     },
   ]);
--- a/packages/store/src/polled-watch.ts
+++ b/packages/store/src/polled-watch.ts
@@ -41,7 +41,7 @@
 }
 
 /** For ranges without a pace of their own. */
-const DEFAULT_PACE: WatchTiming = {
+const DEFAULT_TIMING: WatchTiming = {
   waitMs: 8000,
   batchDelayMs: 0,
   timeoutMarginMs: 1000,
@@ -52,7 +52,7 @@
  */
 const LATENESS_FACTOR = 3;
 /** Factor of the margin after a call without an answer. */
-const MARGIN_GROWTH = 2;
+const MARGIN_GROWTH_FACTOR = 2;
 /** Milliseconds that the margin grows to, at most; the time-out of other calls. */
 const MAX_MARGIN_MS = 1000;
 /**
@@ -75,7 +75,7 @@
 }
 
 /** Another call of the watch was silent. */
-class SuspicionError extends ReplacedCallError {
+class SuspectConnectionError extends ReplacedCallError {
   constructor() {
     super('another call of the watch was silent');
   }
@@ -98,7 +98,7 @@
 }
 
 /** An answer, and until when it shows all changes. */
-interface ProvenAnswer extends WatchCallAnswer {
+interface ConfirmedAnswer extends WatchCallAnswer {
   readonly knownUntilMs: number;
 }
 
@@ -111,7 +111,7 @@
 export class PolledWatch {
   private readonly parts: PolledWatchParts;
   private readonly calls = new Map<AbortController, CallPurpose>();
-  private gathering = new AbortController();
+  private batchDelayController = new AbortController();
   /** Milliseconds that the store needs beyond the wait, as it was seen last. */
   private expectedMarginMs = 0;
 
@@ -132,11 +132,11 @@
     handleProgress?: (progress: WatchProgress) => void,
   ): AsyncIterable<readonly WatchEvent[]> {
     const queue = new AsyncQueue<WatchItem>();
-    const ending = new AbortController();
-    const either = AbortSignal.any([signal, ending.signal]);
+    const endController = new AbortController();
+    const combinedSignal = AbortSignal.any([signal, endController.signal]);
     for (const range of ranges) {
-      this.watchRange(range, sinceRevision, either, queue).catch(error =>
-        queue.fail(error),
+      this.watchRange(range, sinceRevision, combinedSignal, queue).catch(
+        error => queue.fail(error),
       );
     }
     try {
@@ -145,7 +145,7 @@
         handleProgress?.(progress);
       }
     } finally {
-      ending.abort(new Error('the watch has ended'));
+      endController.abort(new Error('the watch has ended'));
     }
   }
 
@@ -154,8 +154,8 @@
     for (const [controller, purpose] of this.calls) {
       if (purpose === 'heartbeat') controller.abort(new RefreshError());
     }
-    this.gathering.abort(new RefreshError());
-    this.gathering = new AbortController();
+    this.batchDelayController.abort(new RefreshError());
+    this.batchDelayController = new AbortController();
   }
 
   private async watchRange(
@@ -164,24 +164,24 @@
     signal: AbortSignal,
     queue: AsyncQueue<WatchItem>,
   ): Promise<void> {
-    const pace = range.watchTiming ?? DEFAULT_PACE;
+    const timing = range.watchTiming ?? DEFAULT_TIMING;
     let sinceRevision = startRevision;
     let unansweredCount = 0;
     let purpose: CallPurpose = 'probe';
     let knownUntilMs = this.parts.clock.getNow();
     for (;;) {
       signal.throwIfAborted();
-      const {timeoutMarginMs} = pace;
+      const {timeoutMarginMs} = timing;
       const ageMs = this.parts.clock.getNow() - knownUntilMs;
-      const waitMs = computeWaitMs(pace, purpose, ageMs);
+      const waitMs = computeWaitMs(timing, purpose, ageMs);
       const call = {range, sinceRevision, waitMs, signal};
       const answered = this.attemptCall(call, purpose, timeoutMarginMs);
       const answer = await answered.catch(error => {
         purpose = error instanceof RefreshError ? 'refresh' : 'probe';
         if (error instanceof ReplacedCallError) return undefined;
         unansweredCount += 1;
-        const mayRepeat = !(error instanceof StoreRefusalError);
-        if (!mayRepeat || unansweredCount >= MAX_UNANSWERED) throw error;
+        const mayRetry = !(error instanceof StoreRefusalError);
+        if (!mayRetry || unansweredCount >= MAX_UNANSWERED) throw error;
         return undefined;
       });
       if (!answer) continue;
@@ -192,21 +192,21 @@
       const progress = {start: range.start, knownUntilMs};
       queue.push({events: answer.events, progress});
       if (answer.events.length === 0) continue;
-      const isCutShort = await this.waitToGather(pace, signal);
-      if (isCutShort) purpose = 'refresh';
+      const wasRefreshed = await this.waitForBatch(timing, signal);
+      if (wasRefreshed) purpose = 'refresh';
     }
   }
 
   // Resolves to whether a refresh has ended the wait.
-  private async waitToGather(
+  private async waitForBatch(
     {batchDelayMs}: WatchTiming,
     signal: AbortSignal,
   ): Promise<boolean> {
     if (batchDelayMs <= 0) return false;
     const {clock} = this.parts;
-    const refreshed = this.gathering.signal;
-    const either = AbortSignal.any([signal, refreshed]);
-    await waitFor(clock, batchDelayMs, either).catch(() =>
+    const refreshed = this.batchDelayController.signal;
+    const combinedSignal = AbortSignal.any([signal, refreshed]);
+    await waitFor(clock, batchDelayMs, combinedSignal).catch(() =>
       signal.throwIfAborted(),
     );
     return refreshed.aborted;
@@ -216,7 +216,7 @@
     call: WatchCall,
     purpose: CallPurpose,
     minMarginMs: number,
-  ): Promise<ProvenAnswer> {
+  ): Promise<ConfirmedAnswer> {
     const {clock} = this.parts;
     const controller = new AbortController();
     const marginMs = Math.max(minMarginMs, this.expectedMarginMs);
@@ -247,10 +247,10 @@
       if (call.signal.aborted || error instanceof StoreRefusalError) {
         throw error;
       }
-      const isSilent = deadline.signal.aborted;
-      const cause = isSilent ? deadline.signal.reason : error;
+      const hasTimedOut = deadline.signal.aborted;
+      const cause = hasTimedOut ? deadline.signal.reason : error;
       this.logUnanswered(call, cause, startedAtMs);
-      if (isSilent) this.handleSilence(controller, marginMs);
+      if (hasTimedOut) this.handleTimeout(controller, marginMs);
       throw error;
     } finally {
       this.calls.delete(controller);
@@ -260,10 +260,13 @@
 
   // What silenced one connection has most likely met the others too: they are
   // not waited for.
-  private handleSilence(own: AbortController, marginMs: number): void {
-    this.expectedMarginMs = Math.min(MAX_MARGIN_MS, MARGIN_GROWTH * marginMs);
+  private handleTimeout(own: AbortController, marginMs: number): void {
+    this.expectedMarginMs = Math.min(
+      MAX_MARGIN_MS,
+      MARGIN_GROWTH_FACTOR * marginMs,
+    );
     for (const other of this.calls.keys()) {
-      if (other !== own) other.abort(new SuspicionError());
+      if (other !== own) other.abort(new SuspectConnectionError());
     }
   }
 
--- a/packages/store/src/store-identity.ts
+++ b/packages/store/src/store-identity.ts
@@ -26,11 +26,11 @@
    */
   async checkStore(storeId: string): Promise<void> {
     if (storeId === this.verifiedId) return;
-    const kept = await this.readKeptId(storeId);
-    if (kept !== storeId) {
+    const storedId = await this.readStoredId(storeId);
+    if (storedId !== storeId) {
       throw new HollowstackError(
         'store-restored',
-        `the store was restored from a backup of store ${kept}`,
+        `the store was restored from a backup of store ${storedId}`,
       );
     }
     this.verifiedId = storeId;
@@ -45,7 +45,7 @@
     this.verifiedId = storeId;
   }
 
-  private async readKeptId(storeId: string): Promise<string> {
+  private async readStoredId(storeId: string): Promise<string> {
     const result = await this.store.runTransaction({
       comparisons: [{key: STORE_IDENTITY_KEY, modRevision: 0}],
       onSuccess: [{type: 'put', key: STORE_IDENTITY_KEY, value: storeId}],
--- a/packages/store/src/watch-hub.ts
+++ b/packages/store/src/watch-hub.ts
@@ -49,11 +49,11 @@
   private readonly parts: WatchHubParts;
   private readonly backoff: WatchBackoff;
   private readonly subscriptions: WatchSubscription[] = [];
-  private readonly controller = new AbortController();
-  private attempt = new AbortController();
+  private readonly stopController = new AbortController();
+  private attemptController = new AbortController();
   private failures = 0;
   /** When the watch last stood anew. */
-  private stoodAtMs: number | undefined;
+  private establishedAtMs: number | undefined;
 
   constructor(parts: WatchHubParts) {
     this.parts = parts;
@@ -67,15 +67,21 @@
 
   /** Watches until stopped. */
   async start(): Promise<void> {
-    const {signal} = this.controller;
+    const {signal} = this.stopController;
     while (!signal.aborted) {
-      this.attempt = new AbortController();
-      const either = AbortSignal.any([signal, this.attempt.signal]);
-      const error = await this.watchOnce(either).catch((thrown: unknown) =>
-        this.attempt.signal.aborted ? this.attempt.signal.reason : thrown,
+      this.attemptController = new AbortController();
+      const combinedSignal = AbortSignal.any([
+        signal,
+        this.attemptController.signal,
+      ]);
+      const error = await this.watchOnce(combinedSignal).catch(
+        (thrown: unknown) =>
+          this.attemptController.signal.aborted
+            ? this.attemptController.signal.reason
+            : thrown,
       );
       if (signal.aborted) return;
-      this.logEnd(error);
+      this.logWatchEnd(error);
       await waitFor(this.parts.clock, this.computeBackoffMs(), signal).catch(
         () => {},
       );
@@ -84,23 +90,23 @@
   }
 
   stop(): void {
-    this.controller.abort(new Error('stopped'));
+    this.stopController.abort(new Error('stopped'));
   }
 
   /** Gives the present watch up, as one that is known to be dead, and opens it anew. */
   refresh(): void {
-    this.attempt.abort(new Error('the watch is silent'));
+    this.attemptController.abort(new Error('the watch is silent'));
   }
 
   private async watchOnce(signal: AbortSignal): Promise<void> {
     const {store} = this.parts;
     const ranges = this.subscriptions.map(({range}) => range);
     const watch = store.watchRanges(ranges, 0, signal, progress =>
-      this.sendProgress(progress),
+      this.deliverProgress(progress),
     );
     for await (const events of watch) {
       if (events.length === 0) this.startResync();
-      else this.sendToReaders(events);
+      else this.deliverEvents(events);
     }
   }
 
@@ -110,40 +116,40 @@
     const isAfterOutage = this.failures > 1 || store.isAfterOutage();
     const {failures} = this;
     this.failures = 0;
-    this.stoodAtMs = clock.getNow();
+    this.establishedAtMs = clock.getNow();
     logger.logEvent('store.watch-standing', {isAfterOutage, failures});
-    for (const reader of this.subscriptions) {
-      reader.handleResync(isAfterOutage);
+    for (const subscription of this.subscriptions) {
+      subscription.handleResync(isAfterOutage);
     }
   }
 
-  private sendToReaders(events: readonly WatchEvent[]): void {
+  private deliverEvents(events: readonly WatchEvent[]): void {
     for (const subscription of this.subscriptions) {
-      const own = events.filter(event =>
+      const matching = events.filter(event =>
         isInRange(event.key, subscription.range),
       );
-      if (own.length > 0) subscription.handleEvents(own);
+      if (matching.length > 0) subscription.handleEvents(matching);
     }
   }
 
-  private sendProgress({start, knownUntilMs}: WatchProgress): void {
+  private deliverProgress({start, knownUntilMs}: WatchProgress): void {
     for (const subscription of this.subscriptions) {
       if (subscription.range.start !== start) continue;
       subscription.handleProgress?.(knownUntilMs);
     }
   }
 
-  private logEnd(error: unknown): void {
+  private logWatchEnd(error: unknown): void {
     const {clock, logger} = this.parts;
-    const {stoodAtMs, failures} = this;
-    this.stoodAtMs = undefined;
+    const {establishedAtMs, failures} = this;
+    this.establishedAtMs = undefined;
     logger.logEvent('store.watch-ended', {
       reason: error instanceof Error ? error.message : 'ended by the store',
       failures,
       stoodMs:
-        stoodAtMs === undefined
+        establishedAtMs === undefined
           ? undefined
-          : Math.round(clock.getNow() - stoodAtMs),
+          : Math.round(clock.getNow() - establishedAtMs),
     });
   }
 
