--- a/packages/clock/src/system-clock.test.ts
+++ b/packages/clock/src/system-clock.test.ts
@@ -10,15 +10,15 @@
 function createMachine() {
   let steadyMs = 500;
   let suspendedMs = 0;
-  let setMs = 0;
+  let wallStepMs = 0;
   return {
-    getWallMs: () => 1_800_000_000_000 + steadyMs + suspendedMs + setMs,
+    getWallMs: () => 1_800_000_000_000 + steadyMs + suspendedMs + wallStepMs,
     getSteadyMs: () => steadyMs,
     // In steps of 10 ms, as the system tells it.
     getBootMs: () => Math.floor((steadyMs + suspendedMs) / 10) * 10,
     advance: (ms: number) => (steadyMs += ms),
     pause: (ms: number) => (suspendedMs += ms),
-    setWallClock: (byMs: number) => (setMs += byMs),
+    setWallClock: (byMs: number) => (wallStepMs += byMs),
   };
 }
 
--- a/packages/result-checkpoint/src/result-checkpoint.test.ts
+++ b/packages/result-checkpoint/src/result-checkpoint.test.ts
@@ -26,7 +26,7 @@
 import {CheckpointWriter, OrphanReleaser} from './index.ts';
 import {assembleOrphanPlan} from './orphan-plan.ts';
 
-class ListingLogger extends EventLogger {
+class RecordingLogger extends EventLogger {
   readonly lines: Array<[EventName, EventFields]> = [];
 
   logEvent(name: EventName, fields: EventFields = {}): void {
@@ -87,7 +87,7 @@
   clock: ManualClock,
   startedAtMs: number,
 ) {
-  const logger = new ListingLogger();
+  const logger = new RecordingLogger();
   const stored: OwnedResult[] = [];
   const released: string[] = [];
   const starts = new Map<string, number>();
--- a/packages/store/src/polled-watch.test.ts
+++ b/packages/store/src/polled-watch.test.ts
@@ -60,8 +60,8 @@
     const number = this.callCount++;
     const endMs = this.clock.getNow() + call.waitMs;
     for (;;) {
-      const isSilent = this.isUnavailable || number < this.silencedCallCount;
-      if (isSilent) await waitFor(this.clock, Infinity, call.signal);
+      const isHanging = this.isUnavailable || number < this.silencedCallCount;
+      if (isHanging) await waitFor(this.clock, Infinity, call.signal);
       if (this.refusal) throw this.refusal;
       const events = this.events.filter(
         ({key, modRevision}) =>
