--- a/packages/store/src/budgeted-store.ts
+++ b/packages/store/src/budgeted-store.ts
@@ -12,13 +12,13 @@
 } from './key-value-store.ts';
 import {TokenBucket} from '@hollowstack/token-bucket';
 
-/** How many calls an instance may make. */
+/** Rate limit of an instance's calls. */
 export interface CallBudgetOptions {
   readonly callsPerSecond: number;
   readonly burst: number;
 }
 
-/** Keeps one instance's calls within its share of the service's rate. */
+/** Limits an instance's calls to its share of the store's rate; rejects calls beyond it. */
 export class BudgetedStore extends KeyValueStore {
   private readonly store: KeyValueStore;
   private readonly bucket: TokenBucket;
@@ -31,12 +31,12 @@
     this.bucket = new TokenBucket(clock, options.callsPerSecond, options.burst);
   }
 
-  /** Returns how many calls went out. */
+  /** Returns the number of calls sent. */
   getCallCount(): number {
     return this.callCount;
   }
 
-  /** Returns how many calls the budget refused. */
+  /** Returns the number of calls that the budget refused. */
   getRefusedCount(): number {
     return this.refusedCount;
   }
--- a/packages/store/src/change-revisions.ts
+++ b/packages/store/src/change-revisions.ts
@@ -1,11 +1,11 @@
 import type {WatchEvent} from './key-value-store.ts';
 
-/** Keys whose changes are remembered, at most; the oldest changes are forgotten first. */
+/** Largest number of keys whose changes are recorded; the oldest change is dropped first. */
 const MAX_KEYS = 10_000;
 
 /**
- * Revisions of the changes that were handled since the last reading, by key. A reading may
- * be answered after newer changes, which it must not undo.
+ * Revisions of the changes that were handled since the last full read, by key. The answer to a
+ * full read may arrive after newer changes, which it must not undo.
  */
 export class ChangeRevisions {
   private readonly revisions = new Map<string, number>();
@@ -21,12 +21,12 @@
     this.revisions.delete(oldest);
   }
 
-  /** Returns whether a key has changed after a reading was made. */
+  /** Returns whether a change of a key after `storeRevision` was handled. */
   hasNewerChange(key: string, storeRevision: number): boolean {
     return (this.revisions.get(key) ?? 0) > storeRevision;
   }
 
-  /** Forgets the changes that a reading contains. */
+  /** Removes the changes that a full read of `storeRevision` contains. */
   removeUpTo(storeRevision: number): void {
     for (const [key, revision] of this.revisions) {
       if (revision <= storeRevision) this.revisions.delete(key);
--- a/packages/store/src/gateway-messages.ts
+++ b/packages/store/src/gateway-messages.ts
@@ -1,11 +1,11 @@
 import {z} from 'zod';
 
-// The JSON gateway of the etcd v3 API writes 64-bit numbers as strings and
-// leaves out fields that hold their zero value.
+// The JSON gateway of the etcd v3 API encodes 64-bit numbers as strings and
+// omits fields that have their zero value.
 const numberSchema = z.union([z.string(), z.number()]).transform(Number);
 const zeroableSchema = numberSchema.default(0);
 
-/** A key and its value on the wire, both in base64. */
+/** A key and its value on the wire, both base64-encoded. */
 export const wireKeyValueSchema = z.object({
   key: z.string(),
   value: z.string().default(''),
--- a/packages/store/src/gateway-store.ts
+++ b/packages/store/src/gateway-store.ts
@@ -31,18 +31,18 @@
 } from './key-value-store.ts';
 import type {z} from 'zod';
 
-/** Where the service is and how long to wait for it. */
+/** Address and timeout of the store. */
 export interface GatewayStoreOptions {
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
   /** Milliseconds to wait for an answer. */
   readonly timeoutMs: number;
 }
 
-/** HTTP status. */
+/** HTTP status code. */
 const OK = 200;
 
-/** The adapter to the JSON gateway of the etcd v3 API. */
+/** Adapter to the JSON gateway of the etcd v3 API. */
 export class GatewayStore extends KeyValueStore {
   private readonly client: HttpClient;
   private readonly clock: Clock;
@@ -138,8 +138,8 @@
     body: ReadonlyArray<{create_request: unknown}>,
     signal: AbortSignal,
   ): Promise<HttpResponse> {
-    // One request carries several create requests, a line each, so that the
-    // service counts a single waiting call.
+    // One request carries several create requests, one per line, so that the
+    // store counts a single pending call.
     const text = body.map(request => JSON.stringify(request)).join('\n');
     try {
       const response = await this.client.send(this.options.address, {
@@ -177,7 +177,7 @@
       );
       const answer = await readJson(response);
       if (response.status === OK) return answer;
-      // The gateway answers an error before it applies anything.
+      // The gateway answers with an error only before it applies anything.
       throw new StoreError(`${path} answered ${response.status}`, 'none');
     } catch (error) {
       throw toStoreError(error, effectOnFailure);
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,4 +1,4 @@
-/** The platform's key-value service: an abstract store, its HTTP adapter and a call budget. */
+/** The platform's key-value store: abstract interface, HTTP adapter, call budget and watches. */
 export {
   KeyValueStore,
   StoreError,
--- a/packages/store/src/instance-list.test.ts
+++ b/packages/store/src/instance-list.test.ts
@@ -15,7 +15,7 @@
   });
 }
 
-/** A list whose readings are answered by the test. */
+/** Creates a list whose full reads are answered by the test. */
 function createList() {
   const pendingReads: Array<(reading: RangeResult) => void> = [];
   const store = {
@@ -43,7 +43,7 @@
   return 0.5;
 }
 
-test('a reading that is answered late undoes no change that came after it', async () => {
+test('a full read that is answered late does not undo a newer change', async () => {
   const {list, answer, listIds} = createList();
   const first = list.refresh();
   answer(5, ['a', 'b']);
--- a/packages/store/src/instance-list.ts
+++ b/packages/store/src/instance-list.ts
@@ -10,22 +10,20 @@
 } from './key-value-store.ts';
 import type {WatchSubscription} from './watch-hub.ts';
 
-/** Prefix of the platform's list; below it stand `<group>/<id>`. */
+/** Key prefix of the platform's instance list, followed by `<group>/<id>`. */
 export const INSTANCE_LIST_PREFIX = 'platform/instances/';
 
-/** Returns the key of one instance in the platform's list. */
+/** Returns the key of an instance in the platform's list. */
 export function getInstanceKey(group: string, id: string): string {
   return `${INSTANCE_LIST_PREFIX}${group}/${id}`;
 }
 
-/**
- * Milliseconds between readings of the list; the watch brings changes sooner.
- */
+/** Milliseconds between full reads of the list; the watch reports changes sooner. */
 const DEFAULT_POLL_MS = 15_000;
 
 /**
- * Follows the platform's lagging list of instances; keeps the last one through
- * an outage.
+ * Follows the platform's list of instances, which may lag behind; retains the
+ * last known list during an outage of the store.
  */
 export class InstanceList implements WatchSubscription {
   readonly range: KeyRange = createPrefixRange(INSTANCE_LIST_PREFIX);
@@ -64,7 +62,7 @@
     return found;
   }
 
-  /** Returns one instance, or undefined where the list does not have it. */
+  /** Returns an instance, or undefined if the list does not contain it. */
   getInstance(group: string, id: string): InstanceRecord | undefined {
     return this.records.get(getInstanceKey(group, id));
   }
@@ -74,7 +72,7 @@
     this.listeners.push(listener);
   }
 
-  /** Polls until stopped; the watch brings changes sooner. */
+  /** Polls until stopped; the watch reports changes sooner. */
   start(): Promise<void> {
     return this.task.start();
   }
@@ -96,7 +94,7 @@
     void this.refresh();
   }
 
-  /** Reads the whole list; an outage leaves the last one standing. */
+  /** Reads the whole list; retains the last known one if the store does not answer. */
   async refresh(): Promise<void> {
     const found = await this.store.readRange(this.range).catch(() => undefined);
     if (!found) return;
@@ -117,8 +115,8 @@
     this.changes.removeUpTo(storeRevision);
   }
 
-  // The list is the platform's: a row that cannot be read is passed over
-  // rather than taking the readable ones with it.
+  // The platform writes the list: an entry that cannot be parsed is skipped, so
+  // that it does not affect the others.
   private setRecord(key: string, value: string): void {
     const parsed = parseRecord(value);
     if (parsed) this.records.set(key, parsed);
--- a/packages/store/src/key-value-store.ts
+++ b/packages/store/src/key-value-store.ts
@@ -1,43 +1,43 @@
 import {HollowstackError} from '@hollowstack/errors';
 
-/** A key with its value and the revisions at which the store saw them. */
+/** A key with its value and revisions. */
 export interface KeyValue {
   readonly key: string;
   readonly value: string;
   /** Store revision of the last change. */
   readonly modRevision: number;
-  /** Store revision at which the key came to be. */
+  /** Store revision at which the key was created. */
   readonly createRevision: number;
 }
 
 /** A half-open range of keys. */
 export interface KeyRange {
   readonly start: string;
-  /** First key behind the range; absent for the one key `start`. */
+  /** First key after the range; absent if the range is the single key `start`. */
   readonly end?: string;
   readonly watchTiming?: WatchTiming;
 }
 
-/** How a range is watched where a watch is a call that ends with its changes. */
+/** How a range is watched if the watch works by long polling. */
 export interface WatchTiming {
-  /** Longest milliseconds of one call without a change. */
+  /** Longest milliseconds that the store waits for a change in one call. */
   readonly waitMs: number;
-  /** Milliseconds after a change before the next call, so that it brings several. */
+  /** Milliseconds from a change to the next call, which then returns several changes. */
   readonly batchDelayMs: number;
-  /** Milliseconds beyond the wait after which a call counts as unanswered, at least. */
+  /** Minimum milliseconds from the end of the wait until the call times out. */
   readonly timeoutMarginMs: number;
   /**
-   * Milliseconds within which an answer should confirm what is known; after changes that came
-   * late in a call the next one waits for less. Absent where that does not matter.
+   * Milliseconds within which the next answer should confirm that all changes are known. The
+   * wait of a call that follows late changes is shortened accordingly. Absent for no limit.
    */
   readonly confirmWithinMs?: number;
 }
 
-/** What a read found. */
+/** Result of a read. */
 export interface RangeResult {
-  /** Names the store; one that was restored from a backup has a new name. */
+  /** Id of the store; a store that was restored from a backup has a new one. */
   readonly storeId: string;
-  /** Store revision at which the read was true. */
+  /** Store revision at which the read was made. */
   readonly storeRevision: number;
   readonly keyValues: readonly KeyValue[];
 }
@@ -48,7 +48,7 @@
   readonly modRevision: number;
 }
 
-/** One step of a transaction. */
+/** An operation of a transaction. */
 export type Operation =
   | {
       readonly type: 'put';
@@ -59,30 +59,30 @@
   | {readonly type: 'delete'; readonly range: KeyRange}
   | {readonly type: 'read'; readonly range: KeyRange};
 
-/** Steps taken together where every comparison holds, others where one does not. */
+/** Operations applied atomically: `onSuccess` if every comparison holds, else `onFailure`. */
 export interface Transaction {
   readonly comparisons: readonly Comparison[];
   readonly onSuccess: readonly Operation[];
   readonly onFailure?: readonly Operation[];
 }
 
-/** What a transaction did. */
+/** Result of a transaction. */
 export interface TransactionResult {
   readonly succeeded: boolean;
-  /** Names the store; one that was restored from a backup has a new name. */
+  /** Id of the store; a store that was restored from a backup has a new one. */
   readonly storeId: string;
   readonly storeRevision: number;
-  /** Results of the read steps, in their order. */
+  /** Results of the read operations, in their order. */
   readonly reads: readonly RangeResult[];
 }
 
-/** A lease that the service ends when it is not renewed in time. */
+/** A lease that expires unless it is renewed in time. */
 export interface Lease {
   readonly id: string;
   readonly ttlMs: number;
 }
 
-/** One change that a watch tells of. */
+/** A change reported by a watch. */
 export interface WatchEvent {
   readonly type: 'put' | 'delete';
   readonly key: string;
@@ -91,18 +91,18 @@
   readonly modRevision: number;
 }
 
-/** Tells that every change of a range up to a time was yielded before. */
+/** Reports that all changes of a range up to a time have been yielded. */
 export interface WatchProgress {
   /** First key of the range. */
   readonly start: string;
-  /** Time of the instance's clock. */
+  /** Time on the instance's clock, in milliseconds. */
   readonly knownUntilMs: number;
 }
 
-/** Whether a failed call may still have changed the store. */
+/** Whether a failed call may have changed the store: `none` if it has not. */
 export type StoreEffect = 'none' | 'unknown';
 
-/** The service did not answer, or not in time. */
+/** The store did not answer in time or refused the call. */
 export class StoreError extends HollowstackError {
   readonly effect: StoreEffect;
 
@@ -113,7 +113,7 @@
   }
 }
 
-/** The service answered, with something else than success. */
+/** The store answered with a status other than success. */
 export class StoreRefusalError extends StoreError {
   constructor(message: string, effect: StoreEffect, cause?: unknown) {
     super(message, effect, cause);
@@ -121,34 +121,33 @@
   }
 }
 
-/** The platform's key-value service. Every method throws StoreError when it does not answer. */
+/** The platform's key-value store. Every method throws StoreError if the store does not answer. */
 export abstract class KeyValueStore {
-  /** Reads a range; `minModRevision` leaves out what has not changed since. */
+  /** Reads a range; with `minModRevision`, only keys last changed at that revision or later. */
   abstract readRange(
     range: KeyRange,
     minModRevision?: number,
   ): Promise<RangeResult>;
 
-  /** Runs a transaction. */
+  /** Runs a transaction atomically. */
   abstract runTransaction(transaction: Transaction): Promise<TransactionResult>;
 
   /** Grants a lease of `ttlMs` milliseconds, rounded up to whole seconds. */
   abstract grantLease(ttlMs: number): Promise<Lease>;
 
-  /** Renews a lease; resolves to false where it has already ended. */
+  /** Renews a lease; resolves to false if it has expired. */
   abstract renewLease(leaseId: string): Promise<boolean>;
 
-  /** Ends a lease and deletes the keys under it. */
+  /** Ends a lease and deletes the keys attached to it. */
   abstract revokeLease(leaseId: string): Promise<void>;
 
   /**
-   * Watches ranges over one call until the signal aborts.
-   * It yields an empty list once the watch stands, and again whenever changes
-   * may have been missed.
+   * Watches ranges until the signal aborts. Yields an empty list once the watch
+   * is established, and again whenever changes may have been missed.
    *
-   * @param fromRevision First store revision whose changes are told.
-   * @param handleProgress Called once the changes before it were taken; stores that cannot
-   *   tell never call it.
+   * @param fromRevision First store revision whose changes are reported.
+   * @param handleProgress Called once the changes up to a time have been consumed; never called
+   *   by stores that do not report progress.
    */
   abstract watchRanges(
     ranges: readonly KeyRange[],
@@ -157,20 +156,20 @@
     handleProgress?: (progress: WatchProgress) => void,
   ): AsyncIterable<readonly WatchEvent[]>;
 
-  /** Has the watch ask for changes at once; does nothing where changes are streamed. */
+  /** Makes the watch request changes at once; does nothing if changes are streamed. */
   refreshWatch(): void {}
 
   /**
-   * Returns whether the watch stands anew after the store was away, as far as
-   * the store itself knows; to be asked when a watch yields an empty list.
+   * Returns whether the watch was re-established after an outage, as far as the
+   * adapter can tell; to be called when a watch yields an empty list.
    */
   isAfterOutage(): boolean {
     return false;
   }
 
   /**
-   * Returns an identifier, as of the latest answer, that changes when the store is restored
-   * from a backup. Writes made since the backup are lost then and have to be repeated.
+   * Returns an identifier from the latest answer, which changes when the store is restored
+   * from a backup. Writes made since the backup are then lost and have to be repeated.
    */
   getHistoryId(): string {
     return '';
--- a/packages/store/src/polled-watch.test.ts
+++ b/packages/store/src/polled-watch.test.ts
@@ -30,7 +30,7 @@
   },
 };
 
-/** A store whose calls can hang on connections that have fallen silent. */
+/** A store whose calls can hang as on dead connections. */
 class LongPollStore {
   latencyMs = LATENCY_MS;
   isUnavailable = false;
@@ -51,7 +51,7 @@
     for (const wake of this.waiting) wake();
   }
 
-  /** Silences the calls that wait now. */
+  /** Makes the calls that wait now hang, as if their connections were dead. */
   silenceCalls(): void {
     this.silencedCallCount = this.callCount;
   }
@@ -120,7 +120,7 @@
   return {clock, store, watch, keys, progress, failed, endController};
 }
 
-test('a call whose connection fell silent is made again, and no change is missed', async t => {
+test('a call on a dead connection is repeated, and no change is missed', async t => {
   const {clock, store, keys} = startWatch(t, [FAST_RANGE]);
   await clock.advance(100);
   store.silenceCalls();
@@ -130,7 +130,7 @@
   assert.deepEqual(keys, ['fast/a', 'fast/b']);
 });
 
-test('the heartbeat of one range finds the silent connections of the others', async t => {
+test('a call that times out makes the calls of the other ranges repeat as well', async t => {
   const {clock, store, keys} = startWatch(t, [FAST_RANGE, SLOW_RANGE]);
   await clock.advance(100);
   store.silenceCalls();
@@ -139,18 +139,18 @@
   assert.deepEqual(keys, ['slow/a']);
 });
 
-test('a store that answers no second call in a row fails the watch', async t => {
+test('the watch fails after two consecutive unanswered calls', async t => {
   const {clock, store, failed} = startWatch(t, [FAST_RANGE]);
   await clock.advance(100);
   const callsBefore = store.callCount;
   store.isUnavailable = true;
   await clock.advance(4000);
   assert.ok((await failed) instanceof Error);
-  // The call that waits is one of the two.
+  // The call that was already waiting is one of the two.
   assert.equal(store.callCount - callsBefore, 1);
 });
 
-test('a store that has lost its history fails the watch at once', async t => {
+test('the watch fails at once if the store has lost its history', async t => {
   const {clock, store, failed} = startWatch(t, [FAST_RANGE]);
   await clock.advance(100);
   const callsBefore = store.callCount;
@@ -161,7 +161,7 @@
   assert.equal(store.callCount, callsBefore);
 });
 
-test('a store that turns slow is not taken for one that is away', async t => {
+test('a store that becomes slow is not mistaken for an unavailable one', async t => {
   const {clock, store, keys, failed} = startWatch(t, [FAST_RANGE]);
   let hasFailed = false;
   void failed.then(() => (hasFailed = true));
@@ -175,19 +175,19 @@
   assert.deepEqual(keys, ['fast/200', 'fast/600', 'fast/900', 'fast/4']);
 });
 
-test('a watch that is given up ends', async t => {
+test('a watch ends when its signal aborts', async t => {
   const {clock, failed, endController} = startWatch(t, [
     FAST_RANGE,
     SLOW_RANGE,
   ]);
   await clock.advance(100);
-  const reason = new Error('given up');
+  const reason = new Error('aborted');
   endController.abort(reason);
   await clock.advance(1);
   assert.equal(await failed, reason);
 });
 
-test('the first call of a watch asks for an answer soon, those that follow wait', async t => {
+test('the first call of a watch has a short wait, the following ones the full wait', async t => {
   const {clock, store} = startWatch(t, [SLOW_RANGE]);
   await clock.advance(100);
   assert.equal(store.callCount, 2);
@@ -195,7 +195,7 @@
   assert.equal(store.callCount, 2);
 });
 
-test('an answer without changes shows that there were none until its wait was over', async t => {
+test('an answer without changes confirms that there were none until the end of its wait', async t => {
   const {clock, progress} = startWatch(t, [FAST_RANGE]);
   const startMs = clock.getNow();
   await clock.advance(100);
@@ -204,7 +204,7 @@
   assert.equal(progress.get('fast/'), startMs + 50 + LATENCY_MS + 1000);
 });
 
-test('an answer with changes shows none that came after it was asked for', async t => {
+test('an answer with changes confirms completeness only up to when its call was sent', async t => {
   const {clock, store, progress, keys} = startWatch(t, [FAST_RANGE]);
   await clock.advance(100);
   const askedMs = progress.get('fast/')! + LATENCY_MS;
@@ -215,7 +215,7 @@
   assert.equal(progress.get('fast/'), askedMs);
 });
 
-test('after changes that came late in a call the next one confirms them in time', async t => {
+test('after late changes in a call the next call confirms them within the limit', async t => {
   const confirmWithinMs = 1400;
   const {clock, store, progress} = startWatch(t, [
     {
@@ -239,7 +239,7 @@
   assert.ok(oldestMs < 1550, `${oldestMs} ms`);
 });
 
-test('a refresh has changes at once, also while others are gathered, and interrupts no call that proves a connection', async t => {
+test('a refresh fetches changes at once, even during the batch delay, and does not cancel probe or refresh calls', async t => {
   const {clock, store, watch, keys, progress} = startWatch(t, [
     {
       ...FAST_RANGE,
--- a/packages/store/src/polled-watch.ts
+++ b/packages/store/src/polled-watch.ts
@@ -9,18 +9,18 @@
   type WatchProgress,
 } from './key-value-store.ts';
 
-/** One call of a watch: it is answered at the first change, or when its wait ends. */
+/** A long-polling call: the store answers it at the first change, or when the wait ends. */
 export interface WatchCall {
   readonly range: KeyRange;
-  /** The store tells of changes behind this revision. */
+  /** The store reports changes after this revision. */
   readonly sinceRevision: number;
-  /** Milliseconds after which the store answers without a change. */
+  /** Milliseconds after which the store answers even without a change. */
   readonly waitMs: number;
-  /** Ends the call. */
+  /** Cancels the call. */
   readonly signal: AbortSignal;
 }
 
-/** What the store answered to one call of a watch. */
+/** The store's answer to a call of a watch. */
 export interface WatchCallAnswer {
   readonly events: readonly WatchEvent[];
   /** Store revision up to which the events are complete. */
@@ -32,41 +32,41 @@
   readonly clock: Clock;
   readonly logger: EventLogger;
   /**
-   * Makes one call.
+   * Sends one call to the store.
    *
-   * @throws StoreRefusalError where the store answered with something else than
-   * success, StoreError where no answer came.
+   * @throws StoreRefusalError if the store answered with a status other than
+   * success, StoreError if it did not answer.
    */
   readonly callStore: (call: WatchCall) => Promise<WatchCallAnswer>;
 }
 
-/** For ranges without a pace of their own. */
+/** Timing of ranges that do not define their own. */
 const DEFAULT_TIMING: WatchTiming = {
   waitMs: 8000,
   batchDelayMs: 0,
   timeoutMarginMs: 1000,
 };
 /**
- * Times the lateness of the last empty answer that the next one may take: a
- * store that turns slow must not be taken for a silent connection.
+ * Factor from the lateness of the last empty answer to the timeout margin of the
+ * next call: a store that becomes slow must not be mistaken for a dead connection.
  */
 const LATENESS_FACTOR = 3;
-/** Factor of the margin after a call without an answer. */
+/** Factor by which the timeout margin grows after a call that timed out. */
 const MARGIN_GROWTH_FACTOR = 2;
-/** Milliseconds that the margin grows to, at most; the time-out of other calls. */
+/** Largest timeout margin in milliseconds; equals the timeout of other calls. */
 const MAX_MARGIN_MS = 1000;
 /**
- * Milliseconds that a call waits which only has to prove that its connection
- * lives: the first one of a watch, which may go over a kept connection, and the
- * one after a call without an answer.
+ * Milliseconds that the store waits in a call which only checks its connection:
+ * the first call of a watch, which may reuse an idle connection, and the call
+ * after one that was not answered.
  */
 const PROBE_WAIT_MS = 50;
-/** Milliseconds that a call waits which only has to tell whether there are changes. */
+/** Milliseconds that the store waits in a call which only asks for the changes so far. */
 const REFRESH_WAIT_MS = 1;
-/** Calls in a row without an answer after which the watch fails. */
+/** Number of consecutive unanswered calls after which the watch fails. */
 const MAX_UNANSWERED = 2;
 
-/** A call that is given up for one that is answered sooner. */
+/** The call was cancelled to send one that is answered sooner. */
 class ReplacedCallError extends Error {
   constructor(reason: string) {
     super(reason);
@@ -74,45 +74,45 @@
   }
 }
 
-/** Another call of the watch was silent. */
+/** Another call of the watch timed out, so this connection may be dead as well. */
 class SuspectConnectionError extends ReplacedCallError {
   constructor() {
-    super('another call of the watch was silent');
+    super('another call of the watch timed out');
   }
 }
 
-/** Changes are asked for at once. */
+/** Changes are requested at once. */
 class RefreshError extends ReplacedCallError {
   constructor() {
-    super('changes are asked for at once');
+    super('changes are requested at once');
   }
 }
 
-/** Why a call is made, which decides how long it waits. */
+/** Why a call is sent; determines how long the store waits. */
 type CallPurpose = 'heartbeat' | 'probe' | 'refresh';
 
-/** One answer to a call, on its way to the reader. */
+/** An answer that is queued for the consumer of the watch. */
 interface WatchItem {
   readonly events: readonly WatchEvent[];
   readonly progress: WatchProgress;
 }
 
-/** An answer, and until when it shows all changes. */
+/** An answer with the time up to which it contains all changes. */
 interface ConfirmedAnswer extends WatchCallAnswer {
   readonly knownUntilMs: number;
 }
 
 /**
- * Watches ranges by calls that end with each change, as stores without streams
- * offer. A call without an answer is made again from the same revision, so
- * that a connection which fell silent costs its time-out and no change. The
- * watch fails only once a second call in a row has no answer.
+ * Watches ranges by long polling, for stores that do not stream changes. An
+ * unanswered call is repeated from the same revision, so that a dead connection
+ * delays changes by the timeout of the call but loses none. The watch fails once
+ * two consecutive calls are unanswered.
  */
 export class PolledWatch {
   private readonly parts: PolledWatchParts;
   private readonly calls = new Map<AbortController, CallPurpose>();
   private batchDelayController = new AbortController();
-  /** Milliseconds that the store needs beyond the wait, as it was seen last. */
+  /** Timeout margin in milliseconds, from the lateness of recent answers. */
   private expectedMarginMs = 0;
 
   constructor(parts: PolledWatchParts) {
@@ -120,10 +120,10 @@
   }
 
   /**
-   * Yields the changes behind a revision until the signal aborts.
+   * Yields the changes after a revision until the signal aborts.
    *
-   * @param handleProgress Called after each answer, once its changes were taken.
-   * @throws StoreError where the store does not answer, or lacks its history.
+   * @param handleProgress Called after each answer, once its changes have been consumed.
+   * @throws StoreError if the store does not answer or no longer has the history.
    */
   async *watchRanges(
     ranges: readonly KeyRange[],
@@ -149,7 +149,7 @@
     }
   }
 
-  /** Asks for changes at once, in place of calls that wait for them. */
+  /** Requests changes at once and cancels the calls that wait for them. */
   refresh(): void {
     for (const [controller, purpose] of this.calls) {
       if (purpose === 'heartbeat') controller.abort(new RefreshError());
@@ -197,7 +197,7 @@
     }
   }
 
-  // Resolves to whether a refresh has ended the wait.
+  // Resolves to true if a refresh has ended the delay.
   private async waitForBatch(
     {batchDelayMs}: WatchTiming,
     signal: AbortSignal,
@@ -239,7 +239,7 @@
       const waitedUntilMs = startedAtMs + call.waitMs;
       const lateMs = clock.getNow() - waitedUntilMs;
       this.expectedMarginMs = Math.min(MAX_MARGIN_MS, LATENESS_FACTOR * lateMs);
-      // A store that has nothing to tell answers when the wait is over.
+      // Without a change the store answers once the wait is over.
       const knownUntilMs = lateMs >= 0 ? waitedUntilMs : startedAtMs;
       return {...answer, knownUntilMs};
     } catch (error) {
@@ -258,8 +258,8 @@
     }
   }
 
-  // What silenced one connection has most likely met the others too: they are
-  // not waited for.
+  // The fault that broke one connection has probably broken the others too, so
+  // their calls are cancelled and sent again.
   private handleTimeout(own: AbortController, marginMs: number): void {
     this.expectedMarginMs = Math.min(
       MAX_MARGIN_MS,
--- a/packages/store/src/store-era.ts
+++ b/packages/store/src/store-era.ts
@@ -6,7 +6,7 @@
  * begins a new era and reuses revisions; era and revision together are monotonic.
  */
 const REVISIONS_PER_ERA = 2 ** 40;
-/** Number of distinct eras, which keeps joined revisions within the safe integers. */
+/** Number of distinct eras; keeps joined revisions within the safe integers. */
 const ERA_COUNT = 2 ** 12;
 
 /** Combines an era and a revision in it into one monotonic number. */
@@ -25,7 +25,7 @@
 
 /**
  * Parses the text of an era; returns undefined unless it is a decimal integer. Eras wrap
- * around at `ERA_COUNT`, so that stores may begin to count anywhere.
+ * around at `ERA_COUNT`, so that stores may start at any number.
  */
 export function parseEra(text: string | undefined): number | undefined {
   if (text === undefined || !/^\d+$/.test(text.trim())) return undefined;
--- a/packages/store/src/store-identity.ts
+++ b/packages/store/src/store-identity.ts
@@ -1,14 +1,13 @@
 import {HollowstackError} from '@hollowstack/errors';
 import {createSingleKeyRange, type KeyValueStore} from './key-value-store.ts';
 
-/** Key under which the store's own id is kept. */
+/** Key that stores the id of the store itself. */
 export const STORE_IDENTITY_KEY = 'hollowstack/store-identity';
 
 /**
- * Knows whether the store is the one that writes went to. A store that was
- * restored from a backup has a new id, but holds the old one under our key:
- * what was written since the backup is lost, claims among it, until an
- * operator says that this is acceptable.
+ * Detects a store that was restored from a backup: it has a new id, but contains
+ * the old one under STORE_IDENTITY_KEY. Writes made since the backup are lost,
+ * claims among them, so the store is refused until an operator accepts it.
  */
 export class StoreIdentity {
   private readonly store: KeyValueStore;
@@ -19,7 +18,7 @@
   }
 
   /**
-   * Checks that a result came from the store that is known.
+   * Checks that a result came from the known store.
    *
    * @param storeId Id of the store that answered.
    * @throws HollowstackError `store-restored`, or StoreError.
@@ -36,7 +35,7 @@
     this.verifiedId = storeId;
   }
 
-  /** Takes the present store for the known one; an operator's decision. */
+  /** Accepts a restored store as the known one; an operator decides this. */
   async acceptStore(storeId: string): Promise<void> {
     await this.store.runTransaction({
       comparisons: [],
--- a/packages/store/src/watch-hub.ts
+++ b/packages/store/src/watch-hub.ts
@@ -8,22 +8,23 @@
   type WatchProgress,
 } from './key-value-store.ts';
 
-/** One reader of the shared watch. */
+/** A subscriber of the shared watch. */
 export interface WatchSubscription {
   readonly range: KeyRange;
-  /** Called with the changes in the range, in the store's order. */
+  /** Called with the changes in the range, in the order of the store. */
   handleEvents(events: readonly WatchEvent[]): void;
-  /** Called when every change of the range up to a time was handled. */
+  /** Called when all changes of the range up to a time have been handled. */
   handleProgress?(knownUntilMs: number): void;
   /**
-   * Called when the watch stands anew: changes may have been missed before it.
+   * Called when the watch is established or re-established: changes before that may have been
+   * missed.
    *
-   * @param isAfterOutage Whether the store had refused to watch in between.
+   * @param isAfterOutage Whether the store was unavailable in between.
    */
   handleResync(isAfterOutage: boolean): void;
 }
 
-/** Milliseconds between attempts to begin the watch again. */
+/** Milliseconds between attempts to re-establish the watch. */
 export interface WatchBackoff {
   readonly minBackoffMs: number;
   readonly maxBackoffMs: number;
@@ -34,7 +35,7 @@
   readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly logger: EventLogger;
-  /** Returns numbers from 0 to below 1; spreads reconnects. */
+  /** Returns numbers from 0 to below 1; spreads reconnections. */
   readonly random: () => number;
   readonly backoff?: WatchBackoff;
 }
@@ -44,7 +45,7 @@
   maxBackoffMs: 5000,
 };
 
-/** Holds one watch for all readers of an instance, and opens it again when it ends. */
+/** Shares one watch among all subscribers of an instance and re-establishes it when it ends. */
 export class WatchHub {
   private readonly parts: WatchHubParts;
   private readonly backoff: WatchBackoff;
@@ -52,7 +53,7 @@
   private readonly stopController = new AbortController();
   private attemptController = new AbortController();
   private failures = 0;
-  /** When the watch last stood anew. */
+  /** When the current watch was established; undefined while there is none. */
   private establishedAtMs: number | undefined;
 
   constructor(parts: WatchHubParts) {
@@ -60,7 +61,7 @@
     this.backoff = parts.backoff ?? DEFAULT_BACKOFF;
   }
 
-  /** Adds a reader; to be called before start. */
+  /** Adds a subscriber; to be called before start. */
   addSubscription(subscription: WatchSubscription): void {
     this.subscriptions.push(subscription);
   }
@@ -93,9 +94,9 @@
     this.stopController.abort(new Error('stopped'));
   }
 
-  /** Gives the present watch up, as one that is known to be dead, and opens it anew. */
+  /** Ends the current watch, which is known to be unresponsive, and opens a new one. */
   refresh(): void {
-    this.attemptController.abort(new Error('the watch is silent'));
+    this.attemptController.abort(new Error('the watch is unresponsive'));
   }
 
   private async watchOnce(signal: AbortSignal): Promise<void> {
@@ -111,7 +112,7 @@
   }
 
   private startResync(): void {
-    // One failure is a watch that was cut; a second one is a store that is away.
+    // A single failure means a broken connection; a second one means that the store is unavailable.
     const {clock, logger, store} = this.parts;
     const isAfterOutage = this.failures > 1 || store.isAfterOutage();
     const {failures} = this;
@@ -153,8 +154,8 @@
     });
   }
 
-  // Full jitter: after an outage the whole fleet comes back spread over the
-  // backoff, not in one instant.
+  // Full jitter: after an outage the reconnections of the fleet are spread over the
+  // back-off instead of arriving at once.
   private computeBackoffMs(): number {
     const {minBackoffMs, maxBackoffMs} = this.backoff;
     const ceiling = Math.min(maxBackoffMs, minBackoffMs * 2 ** this.failures);
