--- a/packages/config-log/src/check-configuration.ts
+++ b/packages/config-log/src/check-configuration.ts
@@ -9,16 +9,16 @@
 } from '@hollowstack/types';
 import {Configuration, getObjectId} from './configuration.ts';
 
-/** One thing that does not hold together. */
+/** An error or inconsistency in a configuration. */
 export interface Finding {
-  /** Where, such as `workspace/lima.pipelines.chat.template`. */
+  /** Path of the faulty value, such as `workspace/lima.pipelines.chat.template`. */
   readonly place: string;
   readonly message: string;
-  /** What to write instead. */
+  /** How to correct it. */
   readonly advice: string;
 }
 
-/** Finds dangling names, impossible deadlines and limits that do not add up. */
+/** Finds duplicate names, dangling references, deadlines that are too short and other faults. */
 export function checkConfiguration(
   objects: readonly ConfigObject[],
 ): readonly Finding[] {
--- a/packages/config-log/src/configuration-toml.ts
+++ b/packages/config-log/src/configuration-toml.ts
@@ -8,10 +8,10 @@
 import {stringify} from 'smol-toml';
 import {z} from 'zod';
 
-/** What an operator's file says. */
+/** Contents of an operator's configuration file. */
 export interface ParsedConfiguration {
   readonly objects: readonly ConfigObject[];
-  /** The revision the file was taken from; absent where it was written afresh. */
+  /** The revision on which the file is based; undefined for a file written from scratch. */
   readonly baseRevision: number | undefined;
 }
 
@@ -24,10 +24,10 @@
 });
 
 /**
- * Parses an operator's file.
+ * Parses an operator's configuration file.
  *
- * @param path Shown in errors.
- * @throws HollowstackError `configuration-invalid` with path, line or place.
+ * @param path Path of the file, for error messages.
+ * @throws HollowstackError `configuration-invalid` with the file's path and the line or key.
  */
 export function parseConfigurationToml(
   text: string,
@@ -42,7 +42,7 @@
   return {objects, baseRevision: file.baseRevision};
 }
 
-/** Renders objects as a file that parseConfigurationToml reads. */
+/** Renders objects as a file that parseConfigurationToml accepts. */
 export function renderConfigurationToml(
   objects: readonly ConfigObject[],
   baseRevision: number,
--- a/packages/config-log/src/configuration.ts
+++ b/packages/config-log/src/configuration.ts
@@ -8,17 +8,17 @@
   Workspace,
 } from '@hollowstack/types';
 
-/** Returns an object's id among all kinds, such as `pool/encoders`. */
+/** Returns an object's id, unique among all kinds, such as `pool/encoders`. */
 export function getObjectId(kind: ObjectKind, name: string): string {
   return `${kind}/${name}`;
 }
 
-/** Creates the snapshot from before the first change. */
+/** Creates the snapshot of revision 0, before the first change. */
 export function createEmptySnapshot(): ConfigurationSnapshot {
   return {head: {revision: 0, changeId: '', objects: []}, objects: []};
 }
 
-/** A snapshot with its objects at hand by name; it never changes. */
+/** An immutable snapshot with its objects indexed by kind and name. */
 export class Configuration {
   readonly snapshot: ConfigurationSnapshot;
   private readonly objects = new Map<string, ConfigObject>();
--- a/packages/config-log/src/follower.ts
+++ b/packages/config-log/src/follower.ts
@@ -17,14 +17,12 @@
   readStoredSnapshot,
 } from './stored-snapshot.ts';
 
-/** Milliseconds between readings of the head where the watch brings nothing. */
+/** Milliseconds between polls of the head while the watch reports no change. */
 const DEFAULT_POLL_MS = 5000;
-/** Readings of one revision, each of which may meet a publish in progress. */
+/** Largest number of attempts to read a revision; a publish in progress can make one fail. */
 const MAX_READ_ATTEMPTS = 5;
 
-/**
- * Brings each newer configuration from the platform's service to the holder.
- */
+/** Reads each newer configuration from the store and offers it to the holder. */
 export class ConfigurationFollower implements WatchSubscription {
   readonly range: KeyRange = createSingleKeyRange(HEAD_KEY);
   private readonly store: KeyValueStore;
@@ -35,7 +33,7 @@
   private isRefreshDue = false;
   private isStoreDown = false;
 
-  /** @param pollMs Milliseconds between polls, should the watch not work. */
+  /** @param pollMs Milliseconds between polls, which find changes that the watch misses. */
   constructor(
     store: KeyValueStore,
     clock: Clock,
@@ -53,12 +51,12 @@
     });
   }
 
-  /** Returns whether the last call to the service failed. */
+  /** Returns whether the last call to the store failed. */
   isStoreUnavailable(): boolean {
     return this.isStoreDown;
   }
 
-  /** Polls until stopped; the watch and peers' hints bring changes sooner. */
+  /** Polls until stopped; the watch and hints from peers report changes sooner. */
   start(): Promise<void> {
     return this.task.start();
   }
@@ -75,12 +73,12 @@
     void this.refresh();
   }
 
-  /** Takes a peer's word that a revision is out; reads the service if it is news. */
+  /** Handles a peer's hint that a revision was published; reads the store if it is newer. */
   handleHint(revision: number): void {
     if (revision > this.holder.getRevision()) void this.refresh();
   }
 
-  /** Reads the service once; a call during another one leads to one more read. */
+  /** Reads the store; a call during a read adds one more read after it. */
   refresh(): Promise<void> {
     this.isRefreshDue = true;
     this.refreshing ??= this.runRefreshes().finally(() => {
@@ -122,8 +120,8 @@
     }
   }
 
-  // An offer of an older or a forked head is made without its objects: the
-  // holder only looks at the head to refuse it.
+  // A head that is not newer is offered without objects: the holder refuses an
+  // older or a forked one by the head alone, and logs it.
   private isNewer(head: Head): boolean {
     if (head.revision > this.holder.getRevision()) return true;
     this.holder.offerSnapshot({head, objects: []}, 'store');
--- a/packages/config-log/src/holder.ts
+++ b/packages/config-log/src/holder.ts
@@ -2,10 +2,10 @@
 import type {ConfigurationSnapshot} from '@hollowstack/types';
 import {Configuration} from './configuration.ts';
 
-/** What became of an offered snapshot. */
+/** Result of offering a snapshot. */
 export type OfferOutcome = 'in-force' | 'known' | 'older-refused' | 'forked';
 
-/** Holds the configuration in force on one instance; its revision only rises. */
+/** Holds the configuration in force on an instance; its revision never decreases. */
 export class ConfigurationHolder {
   private readonly logger: EventLogger;
   private readonly listeners: Array<(configuration: Configuration) => void> =
@@ -16,17 +16,17 @@
     this.logger = logger;
   }
 
-  /** Returns the configuration in force, or undefined before the first one. */
+  /** Returns the configuration in force, or undefined if there has been none yet. */
   getCurrent(): Configuration | undefined {
     return this.current;
   }
 
-  /** Returns the revision in force, or 0 before the first one. */
+  /** Returns the revision in force, or 0 if there has been none yet. */
   getRevision(): number {
     return this.current?.revision ?? 0;
   }
 
-  /** Adds a function that is called with each newer configuration. */
+  /** Adds a function that is called with each configuration put in force. */
   addListener(listener: (configuration: Configuration) => void): void {
     this.listeners.push(listener);
   }
--- a/packages/config-log/src/index.ts
+++ b/packages/config-log/src/index.ts
@@ -1,4 +1,4 @@
-/** Checks, publishes and follows the operators' configuration; it never goes back. */
+/** Checks, publishes and follows the operators' configuration; its revision never decreases. */
 export {
   CHANGE_ID_PREFIX,
   CHANGE_PREFIX,
--- a/packages/config-log/src/keys.ts
+++ b/packages/config-log/src/keys.ts
@@ -1,12 +1,12 @@
 import type {ObjectKind} from '@hollowstack/types';
 
-/** The key of the head: the newest revision and what it consists of. */
+/** Key of the head: the latest revision and the versions of its objects. */
 export const HEAD_KEY = 'hollowstack/config/head';
-/** Prefix of the objects; below it stand `<kind>/<name>`. */
+/** Key prefix of the objects, followed by `<kind>/<name>`. */
 export const OBJECT_PREFIX = 'hollowstack/config/objects/';
-/** Prefix of the change records, by revision. */
+/** Key prefix of the change records, followed by the padded revision. */
 export const CHANGE_PREFIX = 'hollowstack/config/changes/';
-/** Prefix of the index from change id to revision. */
+/** Key prefix of the index from change id to change record. */
 export const CHANGE_ID_PREFIX = 'hollowstack/config/change-ids/';
 
 /** Digits of a revision in a key, so that keys sort by revision. */
@@ -17,12 +17,12 @@
   return `${OBJECT_PREFIX}${kind}/${name}`;
 }
 
-/** Returns the key of a change record; keys sort as revisions do. */
+/** Returns the key of a change record; keys sort by revision. */
 export function getChangeKey(revision: number): string {
   return CHANGE_PREFIX + String(revision).padStart(REVISION_DIGITS, '0');
 }
 
-/** Returns the key under which a change id's revision is kept. */
+/** Returns the key of a change record in the index by change id. */
 export function getChangeIdKey(changeId: string): string {
   return CHANGE_ID_PREFIX + changeId;
 }
--- a/packages/config-log/src/publish-plan.test.ts
+++ b/packages/config-log/src/publish-plan.test.ts
@@ -47,12 +47,12 @@
   AT_MS,
 );
 
-test('a plan writes what changed and keeps the rest', t => {
+test('a plan writes only the changed objects', t => {
   t.assert.snapshot({head: second.head, record: second.record});
   assert.equal(second.writes.length, 1);
 });
 
-test('changes of different objects from the same base follow each other', () => {
+test('changes to different objects from the same base revision do not conflict', () => {
   const plan = assemblePublishPlan(
     second.next,
     createRequest('c-3', 1, [createPool('right', 30)]),
@@ -62,7 +62,7 @@
   assert.equal(plan.head.revision, 3);
 });
 
-test('a change of an object that another operator changed names that change', () => {
+test('a conflict names the object that another operator has changed', () => {
   assert.throws(
     () =>
       assemblePublishPlan(
@@ -78,7 +78,7 @@
   );
 });
 
-test('publishing the same content again changes nothing', () => {
+test('publishing the same content again gives an empty plan', () => {
   const plan = assemblePublishPlan(
     second.next,
     createRequest('c-3', 2, [createPool('left', 20)]),
@@ -88,7 +88,7 @@
   assert.equal(plan.isEmpty, true);
 });
 
-test('nothing is published over a store that is behind what is in force', () => {
+test('nothing is published to a store that is behind the revision in force', () => {
   assert.throws(
     () =>
       assemblePublishPlan(
@@ -101,7 +101,7 @@
   );
 });
 
-test('a restore plan writes what is in force above both revisions', () => {
+test('a restore plan writes the configuration in force with a revision above both', () => {
   const plan = assembleRestorePlan(
     first.next,
     second.next,
@@ -112,7 +112,7 @@
   assert.deepEqual(plan.next.objects, second.next.objects);
 });
 
-test('findings name the place and what to write instead', t => {
+test('findings name the faulty value and how to correct it', t => {
   const objects = parseConfigurationToml(
     `
 [[pool]]
@@ -148,7 +148,7 @@
   t.assert.snapshot(checkConfiguration(objects));
 });
 
-test('files that cannot be read are told with line or place', t => {
+test('parse errors name the line or key', t => {
   const files = {
     syntax: '[[pool]\nname = "x"',
     'unknown key': '[[pool]]\nname = "x"\nstage = "encode"\nspeed = 3',
@@ -159,7 +159,7 @@
   const messages = Object.entries(files).map(([name, text]) => {
     try {
       parseConfigurationToml(text, 'example.toml');
-      return {name, message: 'taken'};
+      return {name, message: 'accepted'};
     } catch (error) {
       return {name, message: String(error)};
     }
@@ -167,7 +167,7 @@
   t.assert.snapshot(messages);
 });
 
-test('a rendered file reads back as the same objects', () => {
+test('a rendered file parses to the same objects', () => {
   const {objects} = second.next;
   const text = renderConfigurationToml(objects, 2);
   const parsed = parseConfigurationToml(text, 'rendered.toml');
--- a/packages/config-log/src/publish-plan.ts
+++ b/packages/config-log/src/publish-plan.ts
@@ -10,12 +10,12 @@
 import {checkConfiguration} from './check-configuration.ts';
 import {Configuration, getObjectId} from './configuration.ts';
 
-/** What an operator wants changed. */
+/** A change requested by an operator. */
 export interface PublishRequest {
-  /** Chosen by the operator's side, so that a resend is known as one. */
+  /** Chosen by the operator's client, so that a resend is recognized. */
   readonly changeId: string;
   readonly author: string;
-  /** The revision the change was made from. */
+  /** The revision on which the change is based. */
   readonly baseRevision: number;
   /** Objects to add or to replace. */
   readonly objects: readonly ConfigObject[];
@@ -23,7 +23,7 @@
   readonly removals: readonly string[];
 }
 
-/** The next revision as data; nothing has been written yet. */
+/** The next revision and the writes that lead to it; nothing is written yet. */
 export interface PublishPlan {
   readonly head: Head;
   readonly record: ChangeRecord;
@@ -33,16 +33,17 @@
   readonly deletions: readonly ObjectVersion[];
   /** Whether nothing would change. */
   readonly isEmpty: boolean;
-  /** The whole configuration once the plan is applied. */
+  /** The complete configuration once the plan is applied. */
   readonly next: ConfigurationSnapshot;
 }
 
 /**
- * Assembles the next revision from the stored one.
+ * Assembles the plan that applies a change to the stored configuration.
  *
- * @param inForceRevision The highest revision known to be in force anywhere.
- * @param nowMs Milliseconds since the epoch, for the record.
- * @throws HollowstackError `configuration-behind`, `configuration-conflict` or `configuration-invalid`.
+ * @param inForceRevision The highest revision known to be in force on any instance.
+ * @param nowMs Time of the change record, in milliseconds since the epoch.
+ * @throws HollowstackError `configuration-behind`, `configuration-conflict`,
+ *   `configuration-invalid`, or `not-found` for a removal of an unknown object.
  */
 export function assemblePublishPlan(
   stored: ConfigurationSnapshot,
@@ -65,8 +66,8 @@
 }
 
 /**
- * Assembles a revision that writes the configuration in force back over an
- * older store, under a revision above both.
+ * Assembles the plan that writes the configuration in force to a store that
+ * lost it. The new revision is above both.
  */
 export function assembleRestorePlan(
   stored: ConfigurationSnapshot,
--- a/packages/config-log/src/publisher.ts
+++ b/packages/config-log/src/publisher.ts
@@ -20,27 +20,31 @@
 } from './publish-plan.ts';
 import {readStoredSnapshot, type StoredSnapshot} from './stored-snapshot.ts';
 
-/** A change that has taken effect. */
+/** Result of a publish that took effect. */
 export interface PublishResult {
   readonly revision: number;
   readonly changeId: string;
-  /** Ids of the objects that changed; empty where the file held nothing new. */
+  /** Ids of the objects that were written or removed; empty if the request changed nothing. */
   readonly changed: readonly string[];
-  /** The whole configuration at that revision; undefined where an earlier try had published it. */
+  /**
+   * The complete configuration at that revision; undefined if the request changed nothing or an
+   * earlier attempt had published the change.
+   */
   readonly snapshot?: ConfigurationSnapshot;
 }
 
-// Records older than this many revisions are deleted with each change, so that
-// the store does not grow with the project's age. A day brings 680 changes.
+// Number of revisions whose change records are retained. Each change deletes the
+// record that falls out of this range, so that the store does not grow without
+// limit; operators make about 680 changes a day.
 const RETAINED_CHANGES = 1000;
-/** Attempts to publish beside others who change other objects. */
+/** Largest number of attempts, as concurrent changes to other objects make an attempt fail. */
 const MAX_ATTEMPTS = 8;
-/** Milliseconds before a publish that met another one is tried again. */
+/** Milliseconds by which the back-off grows with each attempt. */
 const RETRY_MS = 100;
 
 /**
- * Applies publish plans to the platform's service; a lost answer never doubles
- * a change.
+ * Applies publish plans to the store. A change is applied at most once, even if
+ * the store's answer to an attempt is lost.
  */
 export class ConfigurationPublisher {
   private readonly store: KeyValueStore;
@@ -63,9 +67,10 @@
   /**
    * Publishes a change.
    *
-   * @param getInForceRevision Returns the highest revision known to be in force.
-   * @throws HollowstackError of the plan, or `outcome-unknown` where the service
-   *   never said whether the change took effect.
+   * @param getInForceRevision Returns the highest revision known to be in force on any instance.
+   * @throws HollowstackError of assemblePublishPlan, `store-restored`,
+   *   `store-unavailable` (not published), or `outcome-unknown` if the store's
+   *   answers do not show whether the change took effect.
    */
   publish(
     request: PublishRequest,
@@ -82,7 +87,7 @@
     });
   }
 
-  /** Writes the configuration in force back over a store that lost it. */
+  /** Writes the configuration in force to a store that lost it, and accepts that store. */
   restore(
     inForce: ConfigurationSnapshot,
     request: Pick<PublishRequest, 'changeId' | 'author'>,
@@ -125,7 +130,7 @@
     );
   }
 
-  // Undefined means that another change came between: plan again on top of it.
+  // Resolves to undefined if another change was published in between; the caller plans again.
   private async publishOnce(
     changeId: string,
     assemblePlan: (stored: StoredSnapshot) => Promise<PublishPlan>,
@@ -148,8 +153,8 @@
       ],
     });
     if (!result.succeeded) return undefined;
-    // Between the read and the write the store may have been restored, and an
-    // older head compares equal there.
+    // The store may have been restored between the read and the write, with an
+    // older head whose modRevision compares equal.
     if (result.storeId !== stored.storeId) {
       throw new HollowstackError(
         'store-restored',
--- a/packages/config-log/src/stored-snapshot.ts
+++ b/packages/config-log/src/stored-snapshot.ts
@@ -16,16 +16,16 @@
 import {createEmptySnapshot, getObjectId} from './configuration.ts';
 import {CHANGE_PREFIX, HEAD_KEY, OBJECT_PREFIX, getObjectKey} from './keys.ts';
 
-/** A snapshot with the store's own revision of the head, for comparisons. */
+/** A snapshot with the store revision of its head, for comparisons in transactions. */
 export interface StoredSnapshot {
   readonly snapshot: ConfigurationSnapshot;
-  /** 0 where no head was ever written. */
+  /** 0 if the store has no head. */
   readonly headModRevision: number;
-  /** Id of the store that was read. */
+  /** Id of the store that answered. */
   readonly storeId: string;
 }
 
-/** Reads head and all objects in one call, so that they belong together. */
+/** Reads the head and all objects in one transaction, so that they are consistent. */
 export async function readStoredSnapshot(
   store: KeyValueStore,
 ): Promise<StoredSnapshot> {
@@ -56,8 +56,10 @@
 }
 
 /**
- * Reads what has changed since a snapshot, in one call.
- * Returns undefined where the head has moved on meanwhile; ask again then.
+ * Reads the objects that have changed since a snapshot, in one transaction.
+ * Resolves to undefined if the head has changed since it was read; read it again then.
+ *
+ * @param head The newer head, as read from the store.
  */
 export async function readChangedSnapshot(
   store: KeyValueStore,
@@ -96,7 +98,7 @@
   return {head, objects: mergeObjects(known.objects, changedObjects, head)};
 }
 
-/** Reads the head; undefined where none was ever written. */
+/** Reads the head; resolves to undefined if there is none. */
 export async function readHead(
   store: KeyValueStore,
 ): Promise<Head | undefined> {
@@ -110,7 +112,7 @@
   return headSchema.parse(JSON.parse(value));
 }
 
-/** Reads the change records that are kept, the newest first. */
+/** Reads the retained change records, newest first. */
 export async function readChangeRecords(
   store: KeyValueStore,
 ): Promise<readonly ChangeRecord[]> {
