--- a/packages/claims/src/claim-store.ts
+++ b/packages/claims/src/claim-store.ts
@@ -9,7 +9,7 @@
 import type {CallOutcome} from '@hollowstack/types';
 import {claimRecordSchema, type ClaimRecord} from './claim-record.ts';
 
-/** Which call is claimed, by whom. */
+/** Identifies a call and the instance that claims it. */
 export interface ClaimIdentity {
   readonly key: string;
   readonly requestId: string;
@@ -17,37 +17,35 @@
   readonly fingerprint: string;
 }
 
-/** A claim that this instance holds. */
+/** A claim as read from the store; this or another instance may hold it. */
 export interface HeldClaim {
   readonly key: string;
   readonly record: ClaimRecord;
   readonly modRevision: number;
 }
 
-/** What came of asking for a claim. */
+/** Result of acquiring a claim: `taken` means that another request has claimed the call. */
 export type ClaimResult =
   | {readonly type: 'granted'; readonly claim: HeldClaim}
   | {readonly type: 'taken'; readonly claim: HeldClaim};
 
 /**
- * Milliseconds for which claims are kept: the 24 h in which callers may
- * resend, and an hour to renew in.
+ * Milliseconds for which claims are retained: 24 h, in which callers may resend
+ * a call, and the hour for which a lease is reused.
  */
 const RETENTION_MS = 25 * 60 * 60 * 1000;
-/**
- * Milliseconds between two leases for claims, so that a lease holds an hour of
- * claims.
- */
+/** Milliseconds for which new claims share a lease before another one is granted. */
 const LEASE_REUSE_MS = 60 * 60 * 1000;
 /**
- * Milliseconds before a failed call to the store is tried again; some forty
- * answers of a healthy one.
+ * Milliseconds between attempts to acquire a claim; about 40 times the response
+ * time of a healthy store.
  */
 const RETRY_MS = 150;
 
 /**
- * Claims in the platform's service. A claim is created only where none is; it
- * has no time limit that a paused holder could outlive, only a day's retention.
+ * Reads and writes claims in the store. A claim is created only if none exists.
+ * It has no time limit that could expire while its holder is paused; it is only
+ * deleted at the end of its retention.
  */
 export class ClaimStore {
   private readonly store: KeyValueStore;
@@ -62,12 +60,12 @@
   }
 
   /**
-   * Asks for a claim until it is granted, taken or the time is up.
+   * Acquires a claim; retries until it is granted or taken, or the time is up.
    *
    * @param giveUpAtMs Milliseconds since the epoch.
-   * @throws StoreError where it is still not known whether the claim is held,
-   *   or HollowstackError `store-restored` where claims may have been lost; the
-   *   caller must not run the call then.
+   * @throws StoreError if it is still unknown whether the claim was acquired,
+   *   or HollowstackError `store-restored` if claims may have been lost. In
+   *   either case the call must not run.
    */
   async acquireClaim(
     identity: ClaimIdentity,
@@ -85,8 +83,8 @@
   }
 
   /**
-   * Takes over a claim whose holder says that it did not run the call.
-   * Returns undefined where the claim has changed meanwhile.
+   * Takes over a claim whose holder reports that it did not run the call.
+   * Returns undefined if the claim has changed since it was read.
    */
   async replaceClaim(
     abandoned: HeldClaim,
@@ -102,7 +100,7 @@
     return {key: abandoned.key, record, modRevision};
   }
 
-  /** Records how the call of a held claim ended; safe to repeat. */
+  /** Records how the call of a claim ended; idempotent. */
   async recordOutcome(claim: HeldClaim, outcome: CallOutcome): Promise<void> {
     if (outcome.type === 'not-run') {
       await this.removeClaim(claim);
@@ -112,7 +110,7 @@
     await this.putRecord(claim.key, record, claim.modRevision);
   }
 
-  /** Reads a claim; undefined where there is none. */
+  /** Reads a claim; returns undefined if there is none. */
   async readClaim(key: string): Promise<HeldClaim | undefined> {
     const found = await this.store.readRange(createSingleKeyRange(key));
     const keyValue = found.keyValues.at(0);
@@ -145,7 +143,7 @@
     const keyValue = result.reads.at(0)?.keyValues.at(0);
     if (!keyValue) throw new StoreError('claim was removed meanwhile', 'none');
     const claim = toHeldClaim(keyValue);
-    // An earlier try of ours whose answer was lost may be what stands there.
+    // The claim may come from an earlier attempt of this request whose answer was lost.
     const isOwn = claim.record.requestId === identity.requestId;
     return {type: isOwn ? 'granted' : 'taken', claim};
   }
@@ -170,8 +168,8 @@
     });
   }
 
-  // One lease an hour holds all claims of that hour, so that the service
-  // clears them by itself a day later at the cost of one call.
+  // All claims of an hour share one lease, so that the store deletes them by
+  // itself a day later at the cost of one call.
   private async getRetentionLease(): Promise<string> {
     const nowMs = this.clock.getNow();
     const current = this.retentionLease;
--- a/packages/claims/src/claimed-calls.ts
+++ b/packages/claims/src/claimed-calls.ts
@@ -5,19 +5,20 @@
 import {match} from 'ts-pattern';
 import type {ClaimIdentity, ClaimStore, HeldClaim} from './claim-store.ts';
 
-/** What claimed calls work with. */
+/** Dependencies of ClaimedCalls. */
 export interface ClaimedCallsParts {
   readonly claims: ClaimStore;
   readonly clock: Clock;
   /**
-   * Asks the instance that holds a claim how its call ended, waiting for the
-   * end at most `waitMs`. Undefined where it cannot be asked or knows nothing.
+   * Asks the instance that holds a claim how its call ended, and waits at most
+   * `waitMs` for the end. Resolves to undefined if that instance cannot be
+   * reached or does not know the call.
    */
   readonly askOutcome: (
     claim: HeldClaim,
     waitMs: number,
   ) => Promise<CallOutcome | undefined>;
-  /** Called where a claim has no known outcome. */
+  /** Called if a claim has no known outcome. */
   readonly recordUnknownOutcome: (claim: HeldClaim) => void;
 }
 
@@ -28,25 +29,17 @@
   endedAtMs: number | undefined;
 }
 
-/**
- * Milliseconds before an outcome that could not be recorded is recorded again.
- */
+/** Milliseconds between attempts to record an outcome in the store. */
 const RECORD_RETRY_MS = 500;
-/**
- * Milliseconds for which outcomes are at hand without the store; longer than
- * any deadline.
- */
+/** Milliseconds for which outcomes are retained in memory; longer than any deadline. */
 const OUTCOME_RETENTION_MS = 60_000;
 /**
- * Milliseconds before its deadline at which a call whose claim is not there is
- * refused.
+ * Milliseconds before a call's deadline at which a call without a claim is
+ * refused, and the wait for an earlier call's outcome ends.
  */
 const CLAIM_MARGIN_MS = 50;
 
-/**
- * Runs calls under a claim: each at most once, resends get the first one's
- * answer.
- */
+/** Runs each claimed call at most once and answers resends with the first call's answer. */
 export class ClaimedCalls {
   private readonly parts: ClaimedCallsParts;
   private readonly localCalls = new Map<string, LocalCall>();
@@ -57,12 +50,12 @@
   }
 
   /**
-   * Runs a call unless it was claimed before, and returns its answer.
+   * Runs a call unless it was claimed before, and returns the answer.
    *
    * @param deadlineMs Milliseconds since the epoch.
-   * @param runCall Runs the call; must not throw, but say how the call ended.
+   * @param runCall Runs the call and resolves to its outcome; must not reject.
    * @throws HollowstackError `store-unavailable` (not run), `key-reused`,
-   *   `outcome-unknown`, or what `runCall` made of its own failure.
+   *   `outcome-unknown`, or an error by which `runCall` reports its failure.
    */
   runOnce(
     identity: ClaimIdentity,
@@ -86,7 +79,10 @@
     return this.runClaimed(claim, deadlineMs, runCall);
   }
 
-  /** Tells another instance how a call of this one ended; waits for its end. */
+  /**
+   * Finds how a call of this instance ended, and waits at most `waitMs` for its
+   * end; used to answer other instances.
+   */
   async findOutcome(
     claimKey: string,
     requestId: string,
@@ -100,7 +96,7 @@
     ]);
   }
 
-  /** Resolves once every call has ended and is recorded; a planned stop waits for it. */
+  /** Resolves once every call has ended and is recorded; a graceful stop waits for it. */
   async waitForRecording(): Promise<void> {
     while (this.unfinishedWork.size > 0) {
       await Promise.allSettled(this.unfinishedWork);
@@ -117,8 +113,8 @@
       return (await claims.acquireClaim(identity, giveUpAtMs)).claim;
     } catch (error) {
       if (!(error instanceof HollowstackError)) throw error;
-      // The claim may yet stand or come to stand in the service. A resend that
-      // finds it is told by this instance that the call did not run.
+      // The claim may have been stored or may still be stored. Recording `not-run`
+      // lets this instance answer a resend that finds the claim.
       this.recordLocalCall(identity, Promise.resolve({type: 'not-run'}));
       throw new HollowstackError(
         error.kind,
@@ -134,7 +130,7 @@
     runCall: () => Promise<CallOutcome>,
   ): Promise<StoredAnswer | undefined> {
     const {clock} = this.parts;
-    // A pause may have come between the claim and this line.
+    // The process may have been paused since the claim was acquired.
     const isLate = clock.getNow() >= deadlineMs;
     const running: Promise<CallOutcome> = isLate
       ? Promise.resolve({type: 'not-run'})
@@ -193,8 +189,8 @@
         ? await this.findOutcome(key, record.requestId, waitMs)
         : await askOutcome(claim, waitMs);
     if (reported) return reported;
-    // The holder is gone or knows nothing; it may have recorded the outcome
-    // before it went.
+    // The holder is unreachable or does not know the call, but may have recorded
+    // the outcome before it stopped.
     const stored = await claims
       .readClaim(key)
       .catch((): undefined => undefined);
--- a/packages/claims/src/index.ts
+++ b/packages/claims/src/index.ts
@@ -1,4 +1,4 @@
-/** At most one run for a call that carries an idempotency key. */
+/** Runs calls with an idempotency key at most once. */
 export {
   ClaimStore,
   type ClaimIdentity,
