--- a/packages/result-checkpoint/src/checkpoint-writer.ts
+++ b/packages/result-checkpoint/src/checkpoint-writer.ts
@@ -11,24 +11,24 @@
   /** Returns numbers from 0 to below 1. */
   readonly random: () => number;
   readonly store: Pick<KeyValueStore, 'runTransaction' | 'getHistoryId'>;
-  /** This life of this instance. */
+  /** Identity of this incarnation of the instance. */
   readonly self: ResultOwner;
-  /** Lists the results that this instance holds as a coordinator, the oldest first. */
+  /** Lists the results that this instance tracks as the coordinator, oldest first. */
   readonly listStoredResults: () => readonly OwnedResult[];
 }
 
 /**
- * Milliseconds between two checkpoints. Results are kept for about a second, half of it
- * in a call, when they have no handle yet; each checkpoint costs a call to the store.
+ * Milliseconds between two checkpoints. Results exist for about a second, and for half of
+ * it their call still runs and they have no handle; each checkpoint costs a call to the store.
  */
 const CHECKPOINT_INTERVAL_MS = 400;
 
-/** Writes the results that this instance holds to the store, for as long as it holds some. */
+/** Writes a checkpoint of the results that this instance tracks whenever they have changed. */
 export class CheckpointWriter {
   private readonly parts: CheckpointWriterParts;
   private readonly task: RepeatingTask;
   private writtenText = encodeCheckpoint([]);
-  /** Store history to which `written` applies. */
+  /** History id of the store that contains `writtenText`. */
   private historyId = '';
   private hasFailed = false;
 
@@ -40,7 +40,7 @@
     });
   }
 
-  /** Writes until stopped. */
+  /** Writes checkpoints until stopped, then resolves. */
   start(): Promise<void> {
     return this.task.start();
   }
@@ -63,7 +63,7 @@
       this.historyId = historyId;
       this.hasFailed = false;
     } catch (error) {
-      // The next round writes what is held by then.
+      // The next round writes the results that exist by then.
       if (!this.hasFailed) {
         const reason = error instanceof Error ? error.message : String(error);
         logger.logEvent('results.checkpoint-failed', {reason});
--- a/packages/result-checkpoint/src/checkpoint.ts
+++ b/packages/result-checkpoint/src/checkpoint.ts
@@ -5,20 +5,20 @@
 } from '@hollowstack/types';
 import {z} from 'zod';
 
-/** Store prefix of the checkpoints. */
+/** Store key prefix of checkpoints. */
 export const CHECKPOINT_PREFIX = 'hollowstack/results/';
 
 /**
- * Returns the key of a coordinator's checkpoint. Each life has its own, so that one which
- * has just started does not overwrite what it has to give back.
+ * Returns the key of a coordinator's checkpoint. Each incarnation of an instance has its
+ * own, so that a restarted instance does not overwrite the results that it has to release.
  */
 export function getCheckpointKey({instance, startedAtMs}: ResultOwner): string {
   return `${CHECKPOINT_PREFIX}${instance}/${startedAtMs}`;
 }
 
 /**
- * Handles in one checkpoint, at most: some 300 KB of the megabyte that a value may have.
- * More than that are only held by fleets of over 100 upstreams of stages.
+ * Largest number of handles in a checkpoint: about 300 KB of the 1 MB that a value may have.
+ * Only fleets with more than 100 stage upstreams have more.
  */
 export const MAX_CHECKPOINT_HANDLES = 8000;
 
@@ -26,7 +26,7 @@
   groups: z.array(
     z.object({
       owner: resultOwnerSchema,
-      /** Address of the upstream that keeps them. */
+      /** Address of the upstream that stores the results. */
       address: z.string(),
       failureDomain: z.string(),
       handles: z.array(z.string()),
@@ -35,7 +35,7 @@
 });
 type Checkpoint = z.infer<typeof checkpointSchema>;
 
-/** Encodes results for the store; the newest are left out where there are too many. */
+/** Encodes results for the store; omits the newest ones beyond MAX_CHECKPOINT_HANDLES. */
 export function encodeCheckpoint(results: readonly OwnedResult[]): string {
   const groups = new Map<string, Checkpoint['groups'][number]>();
   for (const each of results.slice(0, MAX_CHECKPOINT_HANDLES)) {
@@ -50,9 +50,9 @@
 }
 
 /**
- * Decodes what a coordinator wrote.
+ * Decodes a checkpoint.
  *
- * @throws SyntaxError or ZodError for anything else.
+ * @throws SyntaxError or ZodError if the text is not a checkpoint.
  */
 export function decodeCheckpoint(text: string): OwnedResult[] {
   const {groups} = checkpointSchema.parse(JSON.parse(text));
--- a/packages/result-checkpoint/src/index.ts
+++ b/packages/result-checkpoint/src/index.ts
@@ -1,4 +1,4 @@
-/** Checkpoints of stage results in the store, and giving back what nobody can read. */
+/** Checkpoints stage results in the store and releases orphaned results. */
 export {
   CheckpointWriter,
   type CheckpointWriterParts,
--- a/packages/result-checkpoint/src/orphan-plan.ts
+++ b/packages/result-checkpoint/src/orphan-plan.ts
@@ -1,18 +1,18 @@
 import type {OwnedResult} from '@hollowstack/types';
 
-/** Results of a checkpoint, by whether somebody may still read them. */
+/** Results of checkpoints, split by whether their owner may still read them. */
 export interface OrphanPlan {
-  /** Their instance has started again since it asked for them. */
+  /** Results whose owner has restarted since it requested them. */
   readonly orphans: readonly OwnedResult[];
-  /** Their instance lives, or nothing is known of it yet. */
+  /** Results whose owner still runs or is not known yet. */
   readonly others: readonly OwnedResult[];
 }
 
 /**
- * Plans which results can be given back.
+ * Finds the results that can be released.
  *
- * @param startTimes When each known instance started, in Unix milliseconds. One that is
- * earlier than an owner's is a list that is behind, and says nothing.
+ * @param startTimes Start of each known instance, in Unix milliseconds. A start before
+ * that of the result's owner comes from a stale list and is ignored.
  */
 export function assembleOrphanPlan(
   results: readonly OwnedResult[],
--- a/packages/result-checkpoint/src/orphan-releaser.ts
+++ b/packages/result-checkpoint/src/orphan-releaser.ts
@@ -18,42 +18,42 @@
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly store: Pick<KeyValueStore, 'readRange' | 'runTransaction'>;
-  /** This life of this instance. */
+  /** Identity of this incarnation of the instance. */
   readonly self: ResultOwner;
-  /** Returns whether this instance coordinates. */
+  /** Returns whether this instance is the coordinator. */
   readonly isCoordinator: () => boolean;
-  /** Returns when each known instance started, in Unix milliseconds. */
+  /** Returns the start of each known instance, in Unix milliseconds. */
   readonly listStarts: () => ReadonlyMap<string, number>;
-  /** Gives results back to the upstreams that keep them. */
+  /** Asks the upstreams that store the results to release them. */
   readonly releaseResults: (results: readonly OwnedResult[]) => void;
 }
 
 /**
- * Checkpoints taken out at once, at most: stores bound the steps of a transaction, the
- * strictest seen to 32. What is left is taken out by the next coordinator.
+ * Largest number of checkpoints deleted at once. Stores limit the operations of a
+ * transaction, the strictest known one to 32. The next coordinator deletes the rest.
  */
 const MAX_REMOVALS_PER_TRANSACTION = 30;
 
-/** The checkpoints of other lives. */
+/** The checkpoints of other instances and of earlier incarnations of this one. */
 interface OtherCheckpoints {
   readonly keys: readonly string[];
   readonly results: readonly OwnedResult[];
 }
 
 /**
- * Milliseconds between two looks: whether this instance has come to coordinate, and
- * whether further owners have started again. A fleet of 75 is back within 0.5 s.
+ * Milliseconds between two checks whether this instance has become the coordinator and
+ * whether more owners have restarted. A fleet of 75 instances restarts within 0.5 s.
  */
 const POLL_INTERVAL_MS = 100;
 /**
- * Milliseconds after which what is left of a checkpoint is not looked at any more: its
- * results have run out at their upstreams. Twice the 4 s of the deployments seen.
+ * Milliseconds after which the remaining results of the checkpoints are ignored, because they
+ * have expired at their upstreams: twice the retention of 4 s in known deployments.
  */
 const RESULT_EXPIRY_MS = 8000;
 
 /**
- * Gives back what a lost coordinator held for instances that were lost as well. Each
- * time this instance comes to coordinate it reads the checkpoints of the others.
+ * Releases the results that a lost coordinator tracked for instances that were lost as
+ * well. Reads the checkpoints of the others each time this instance becomes the coordinator.
  */
 export class OrphanReleaser {
   private readonly parts: OrphanReleaserParts;
@@ -63,7 +63,7 @@
     this.parts = parts;
   }
 
-  /** Looks until stopped. */
+  /** Runs until stopped, then resolves. */
   async start(): Promise<void> {
     let wasCoordinator = false;
     for (;;) {
@@ -94,7 +94,7 @@
       if (checkpoints && remaining.length === 0) break;
       if (!(await this.waitForNextPoll())) return;
     }
-    // Whoever stops to coordinate leaves them to the one that does.
+    // An instance that is no longer the coordinator leaves the checkpoints to the new one.
     if (checkpoints && isCoordinator()) await this.removeKeys(checkpoints.keys);
   }
 
@@ -110,7 +110,7 @@
     });
   }
 
-  // Undefined where the store does not answer: it is asked again.
+  // Resolves to undefined if the store does not answer; the caller retries.
   private async readCheckpoints(): Promise<OtherCheckpoints | undefined> {
     const range = createPrefixRange(CHECKPOINT_PREFIX);
     const ownKey = getCheckpointKey(this.parts.self);
@@ -131,7 +131,7 @@
     try {
       return decodeCheckpoint(value);
     } catch (error) {
-      // Of a later version, or of another writer: its results run out by themselves.
+      // Written by a later version or by something else; its results expire by themselves.
       this.logUnread(error, key);
       return [];
     }
@@ -146,7 +146,7 @@
     try {
       await this.parts.store.runTransaction({comparisons: [], onSuccess});
     } catch (error) {
-      // The next coordinator reads them again, and finds nothing left to give back.
+      // The next coordinator reads them again and finds their results released or expired.
       this.logUnread(error);
     }
   }
@@ -156,7 +156,7 @@
     this.parts.logger.logEvent('results.checkpoint-unread', {key, reason});
   }
 
-  // Resolves to whether there is a next look.
+  // Resolves to false once stopped.
   private async waitForNextPoll(): Promise<boolean> {
     const {signal} = this.controller;
     await waitFor(this.parts.clock, POLL_INTERVAL_MS, signal).catch(
--- a/packages/result-checkpoint/src/result-checkpoint.test.ts
+++ b/packages/result-checkpoint/src/result-checkpoint.test.ts
@@ -1,7 +1,7 @@
-// All instances of a fleet were lost in a burst and were back two seconds later. The
-// upstreams of its stages kept the results of the lost requests for another two and a half:
-// 800 items found no memory, calls made 5 to 15 items where they make 30 otherwise, and half
-// of the requests that were let in were late. Nobody could name those results any more.
+// Guards against orphaned results. When all instances of a fleet were lost and restarted two
+// seconds later, no instance knew the handles of the lost requests' results any more, and the
+// stage upstreams stored them for another 2.5 s: 800 items found no memory, batches shrank
+// from 30 to between 5 and 15 items, and half of the admitted requests were late.
 import {ManualClock} from '@hollowstack/clock';
 import {
   EventLogger,
@@ -34,7 +34,7 @@
   }
 }
 
-/** The keys of a store that may be away. */
+/** An in-memory store that can be unavailable. */
 class KeyStore {
   readonly values = new Map<string, string>();
   isUnavailable = false;
@@ -63,11 +63,11 @@
   }
 
   private checkAvailability(): void {
-    if (this.isUnavailable) throw new StoreError('away', 'none');
+    if (this.isUnavailable) throw new StoreError('unavailable', 'none');
   }
 }
 
-// Pauses without jitter.
+// As a random number, 0.5 means a pause without jitter.
 function getHalf(): number {
   return 0.5;
 }
@@ -81,7 +81,7 @@
   return {handle, address: '10.0.0.1:80', failureDomain: 'a', owner};
 }
 
-/** One coordinator's life, with what it holds and what it has given back. */
+/** Creates one incarnation of a coordinator, with the results that it tracks and has released. */
 function createCoordinator(
   store: KeyStore,
   clock: ManualClock,
@@ -120,7 +120,7 @@
   return {logger, stored, released, starts, start, stop};
 }
 
-/** Has a coordinator hold results of two instances and lose its process. */
+/** Runs a coordinator that tracks results of two instances until its process is lost. */
 async function runUntilLost(store: KeyStore, clock: ManualClock) {
   const lost = createCoordinator(store, clock, 1000);
   lost.stored.push(
@@ -133,7 +133,7 @@
   return lost;
 }
 
-test('what is held for instances that have started again is an orphan, and nothing else', () => {
+test('only the results of instances that have restarted are orphans', () => {
   const results = [
     createResult('again', 'x', 1000),
     createResult('lives', 'y', 1000),
@@ -156,7 +156,7 @@
   );
 });
 
-test('a checkpoint reads back as what was held, and is bounded', () => {
+test('a checkpoint decodes to the encoded results, and its size is limited', () => {
   const results = [createResult('h1', 'x', 1), createResult('h2', 'y', 2)];
   assert.deepEqual(decodeCheckpoint(encodeCheckpoint(results)), results);
   const many = Array.from({length: MAX_CHECKPOINT_HANDLES + 5}, (_, index) =>
@@ -167,7 +167,7 @@
   assert.ok(text.length < 400_000, `${text.length} bytes`);
 });
 
-test('after the loss of all, results are given back as their instances start again', async () => {
+test('after the loss of all instances, results are released as their owners restart', async () => {
   const [store, clock] = [new KeyStore(), new ManualClock(0)];
   await runUntilLost(store, clock);
   const next = createCoordinator(store, clock, 3000);
@@ -182,7 +182,7 @@
   next.stop();
 });
 
-test('results of instances that live are left to them, whoever coordinates', async () => {
+test('a new coordinator does not release the results of instances that still run', async () => {
   const [store, clock] = [new KeyStore(), new ManualClock(0)];
   await runUntilLost(store, clock);
   const next = createCoordinator(store, clock, 3000);
@@ -193,7 +193,7 @@
   next.stop();
 });
 
-test('a store that is away as the next one starts is asked again', async () => {
+test('a store that is unavailable when the next coordinator starts is read again', async () => {
   const [store, clock] = [new KeyStore(), new ManualClock(0)];
   await runUntilLost(store, clock);
   store.isUnavailable = true;
@@ -208,7 +208,7 @@
   next.stop();
 });
 
-test('a checkpoint that cannot be read is logged and costs the others nothing', async () => {
+test('an unreadable checkpoint is logged and does not affect the others', async () => {
   const [store, clock] = [new KeyStore(), new ManualClock(0)];
   await runUntilLost(store, clock);
   store.values.set('hollowstack/results/d/1', 'no checkpoint');
@@ -227,7 +227,7 @@
   next.stop();
 });
 
-test('more checkpoints than a transaction takes are taken out by several coordinators', async () => {
+test('checkpoints beyond the limit of a transaction are deleted by the next coordinator', async () => {
   const [store, clock] = [new KeyStore(), new ManualClock(0)];
   for (let incarnation = 1; incarnation <= 40; incarnation++) {
     store.values.set(`hollowstack/results/d/${incarnation}`, '{"groups":[]}');
@@ -243,7 +243,7 @@
   assert.deepEqual(counts, [10, 0]);
 });
 
-test('nothing is written while nothing changes, and a store that is away is logged once', async () => {
+test('nothing is written without a change, and an unavailable store is logged once', async () => {
   const [store, clock] = [new KeyStore(), new ManualClock(0)];
   const writer = createCoordinator(store, clock, 1000);
   writer.start();
