--- a/packages/clock/src/clock.ts
+++ b/packages/clock/src/clock.ts
@@ -1,10 +1,10 @@
-/** A scheduled callback that can be taken back. */
+/** A scheduled callback that can be cancelled. */
 export interface Timer {
-  /** Takes the callback back; does nothing once it has run. */
+  /** Cancels the callback; does nothing once it has run. */
   cancel(): void;
 }
 
-/** Source of time and of delayed callbacks; passed in wherever time matters. */
+/** Source of time and of delayed callbacks; injected wherever time matters. */
 export interface Clock {
   /** Returns milliseconds since the Unix epoch. */
   getNow(): number;
--- a/packages/clock/src/index.ts
+++ b/packages/clock/src/index.ts
@@ -1,4 +1,4 @@
-/** The clock every other package is given: an interface, a system clock and a manual one. */
+/** The clock interface that other packages use, a system clock and a manual clock for tests. */
 export type {Clock, Timer} from './clock.ts';
 export {SystemClock} from './system-clock.ts';
 export {SYSTEM_TIME_SOURCES, type TimeSources} from './time-sources.ts';
--- a/packages/clock/src/manual-clock.ts
+++ b/packages/clock/src/manual-clock.ts
@@ -6,13 +6,13 @@
   readonly callback: () => void;
 }
 
-/** A clock that stands still until it is advanced; for deterministic tests. */
+/** A clock that only advances on request; for deterministic tests. */
 export class ManualClock implements Clock {
   private nowMs: number;
   private nextOrder = 0;
   private pending: PendingCallback[] = [];
 
-  /** @param startMs Milliseconds since the epoch at which the clock stands. */
+  /** @param startMs Initial time in milliseconds since the epoch. */
   constructor(startMs = 1_800_000_000_000) {
     this.nowMs = startMs;
   }
@@ -31,7 +31,7 @@
     return {cancel: () => this.removePending(entry)};
   }
 
-  /** Moves time on, running each due callback in order and letting promises settle between. */
+  /** Advances the time, runs each due callback in order and lets promises settle after each one. */
   async advance(durationMs: number): Promise<void> {
     const endMs = this.nowMs + durationMs;
     await settlePromises();
@@ -44,12 +44,16 @@
     this.nowMs = endMs;
   }
 
-  /** Moves time on as it passes while a process is stopped: nothing runs meanwhile. */
+  /** Advances the time without running callbacks, as if the process were stopped. */
   pause(durationMs: number): void {
     this.nowMs += durationMs;
   }
 
-  /** Moves time on until the promise settles, at most `limitMs`; then rejects. */
+  /**
+   * Advances the time until the promise settles.
+   *
+   * @throws Error if the promise has not settled after `limitMs` milliseconds.
+   */
   async advanceUntil<T>(promise: Promise<T>, limitMs: number): Promise<T> {
     let isSettled = false;
     const markSettled = () => {
@@ -85,8 +89,8 @@
   }
 }
 
-// One turn of setImmediate runs after every queued microtask, so all promise
-// chains that need no timer have come to rest by then.
+// A setImmediate callback runs after every queued microtask, so all promise
+// chains that need no timer have settled by then.
 function settlePromises(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
--- a/packages/clock/src/repeating-task.ts
+++ b/packages/clock/src/repeating-task.ts
@@ -1,10 +1,10 @@
 import type {Clock} from './clock.ts';
 import {waitFor} from './waiting.ts';
 
-/** Share by which pauses differ, so that a fleet's rounds spread out. */
+/** Largest fraction by which a pause varies, so that the rounds of a fleet spread out. */
 const JITTER_RATIO = 0.25;
 
-/** Runs a piece of work again and again, with a pause between, until stopped. */
+/** Runs a task repeatedly, with a pause after each run, until stopped. */
 export class RepeatingTask {
   private readonly clock: Clock;
   private readonly random: () => number;
@@ -13,8 +13,8 @@
 
   /**
    * @param random Returns numbers from 0 to below 1.
-   * @param runOnce Does the work; resolves to the milliseconds to pause after
-   *   it. It must not reject.
+   * @param runOnce Runs the task once and resolves to the milliseconds to pause
+   *   afterwards; must not reject.
    */
   constructor(
     clock: Clock,
@@ -26,7 +26,7 @@
     this.runOnce = runOnce;
   }
 
-  /** Resolves once stopped. */
+  /** Runs the task until stopped, then resolves. */
   async start(): Promise<void> {
     const {signal} = this.controller;
     while (!signal.aborted) {
--- a/packages/clock/src/suspension-detector.ts
+++ b/packages/clock/src/suspension-detector.ts
@@ -1,15 +1,16 @@
 import type {TimeSources} from './time-sources.ts';
 
-/** Milliseconds between two looks at the wall clock; time is read far more often. */
+/** Milliseconds between two reads of the wall clock; callers ask for the time far more often. */
 const CHECK_INTERVAL_MS = 5;
-/** Milliseconds by which wall and steady clock may part before the cause is looked for. */
+/** Milliseconds by which wall and monotonic clock may diverge before the cause is determined. */
 const MAX_DRIFT_MS = 100;
-/** Milliseconds by which two measurements of one suspension may differ. */
+/** Milliseconds by which wall and boot-time clock may differ about one suspension. */
 const MEASUREMENT_TOLERANCE_MS = 100;
 
 /**
- * Finds how long the machine was suspended. The steady clock does not count that time, the
- * wall clock and the boot-time clock both do; a wall clock that was set moves alone.
+ * Measures how long the machine was suspended. The monotonic clock stops during a suspension,
+ * while the wall clock and the boot-time clock run on. If only the wall clock has moved, it
+ * was set.
  */
 export class SuspensionDetector {
   private readonly sources: TimeSources;
@@ -26,9 +27,10 @@
   }
 
   /**
-   * Returns the milliseconds of a suspension since the last look; 0 for none.
+   * Returns the milliseconds for which the machine was suspended since the last check; 0 if
+   * it was not.
    *
-   * @param steadyMs What the steady clock shows now.
+   * @param steadyMs Current time of the monotonic clock.
    */
   readSuspendedMs(steadyMs: number): number {
     if (steadyMs - this.checkedAtMs < CHECK_INTERVAL_MS) return 0;
--- a/packages/clock/src/system-clock.test.ts
+++ b/packages/clock/src/system-clock.test.ts
@@ -3,10 +3,10 @@
 import {setTimeout as waitMs} from 'node:timers/promises';
 import {SystemClock} from './index.ts';
 
-/** Milliseconds after which a clock looks again whether the machine was suspended. */
+/** Milliseconds after which a clock checks again whether the machine was suspended. */
 const CHECK_MS = 10;
 
-/** Clocks of a machine that can be suspended and have its time of day set. */
+/** Clocks of a simulated machine that can be suspended and whose wall clock can be set. */
 function createMachine() {
   let steadyMs = 500;
   let suspendedMs = 0;
@@ -14,7 +14,7 @@
   return {
     getWallMs: () => 1_800_000_000_000 + steadyMs + suspendedMs + wallStepMs,
     getSteadyMs: () => steadyMs,
-    // In steps of 10 ms, as the system tells it.
+    // The system reports it in steps of 10 ms.
     getBootMs: () => Math.floor((steadyMs + suspendedMs) / 10) * 10,
     advance: (ms: number) => (steadyMs += ms),
     pause: (ms: number) => (suspendedMs += ms),
@@ -33,7 +33,7 @@
     t.after(() => timer.cancel());
     return {calls, timer};
   };
-  /** Lets time pass until the clock looks again, and reads it. */
+  /** Advances the time until the clock checks again, and reads the clock. */
   const readNext = () => {
     machine.advance(CHECK_MS);
     return clock.getNow();
@@ -41,7 +41,7 @@
   return {machine, clock, suspensions, schedule, readNext};
 }
 
-test('time goes on while the machine is suspended', t => {
+test('the clock counts the time during which the machine is suspended', t => {
   const {machine, clock, suspensions, readNext} = createClock(t);
   const beforeMs = clock.getNow();
   machine.pause(3000);
@@ -51,7 +51,7 @@
   assert.deepEqual(suspensions, [3000]);
 });
 
-test('a timer that fell due in a suspension comes at once, others at their time', async t => {
+test('a timer that became due during a suspension fires at once, other timers at their time', async t => {
   const {machine, schedule, readNext} = createClock(t);
   const due = schedule(60_000);
   const later = schedule(600_000);
@@ -69,7 +69,7 @@
   assert.equal(cancelled.calls.length, 0);
 });
 
-test('a step of the wall clock changes nothing', t => {
+test('a step of the wall clock does not affect the clock', t => {
   for (const stepMs of [5000, -5000, 150]) {
     const {machine, clock, suspensions, readNext} = createClock(t);
     const beforeMs = clock.getNow();
@@ -79,7 +79,7 @@
   }
 });
 
-test('a suspension is found between steps of the wall clock', t => {
+test('a suspension between two steps of the wall clock is detected', t => {
   const {machine, suspensions, readNext} = createClock(t);
   machine.setWallClock(-2400);
   readNext();
@@ -90,7 +90,7 @@
   assert.deepEqual(suspensions, [150]);
 });
 
-test('a boot-time clock that does not fit the wall clock is not believed', t => {
+test('no suspension is counted if boot-time clock and wall clock disagree', t => {
   const {machine, clock, suspensions, readNext} = createClock(t);
   const beforeMs = clock.getNow();
   const bootMs = machine.getBootMs;
@@ -100,7 +100,7 @@
   assert.deepEqual(suspensions, []);
 });
 
-test('a calm clock never reads the boot-time clock', t => {
+test('the boot-time clock is not read while wall and monotonic clock agree', t => {
   const {machine, readNext} = createClock(t);
   let reads = 0;
   machine.getBootMs = () => (reads += 1);
--- a/packages/clock/src/system-clock.ts
+++ b/packages/clock/src/system-clock.ts
@@ -9,9 +9,9 @@
 }
 
 /**
- * The machine's clock. It starts from the wall clock and then advances with the
- * monotonic one, so that a step of the wall clock never shortens a lease. Time in which
- * the machine was suspended counts: leases and bounds elsewhere have gone on.
+ * The system's clock. It starts from the wall clock and advances with the monotonic
+ * clock, so that a step of the wall clock never shortens a lease. Time during which the
+ * machine was suspended counts, because leases and time limits elsewhere have run on.
  */
 export class SystemClock implements Clock {
   private readonly sources: TimeSources;
@@ -43,7 +43,7 @@
     return {cancel: () => this.cancelScheduled(entry)};
   }
 
-  /** Adds a function that is called with the milliseconds of each suspension. */
+  /** Adds a function that is called with the duration of each suspension in milliseconds. */
   addSuspensionListener(listener: (suspendedMs: number) => void): void {
     this.listeners.push(listener);
   }
@@ -58,7 +58,7 @@
     clearTimeout(entry.handle);
   }
 
-  // The runtime's timers follow the monotonic clock, and would come late by the suspension.
+  // The runtime's timers follow the monotonic clock and would fire late by the suspension.
   private recordSuspension(suspendedMs: number, steadyMs: number): void {
     this.originMs += suspendedMs;
     const nowMs = this.originMs + steadyMs;
--- a/packages/clock/src/time-sources.ts
+++ b/packages/clock/src/time-sources.ts
@@ -1,12 +1,15 @@
 import {uptime} from 'node:os';
 
-/** The clocks of the machine, each in milliseconds from an origin of its own. */
+/** The clocks of a machine, each in milliseconds since its own origin. */
 export interface TimeSources {
-  /** Time of day; may be set forwards and backwards. */
+  /** Wall clock; may be set forwards or backwards. */
   getWallMs(): number;
-  /** Never goes back; stands while the machine is suspended. */
+  /** Monotonic clock; stops while the machine is suspended. */
   getSteadyMs(): number;
-  /** Goes on while the machine is suspended; in steps of 10 ms, some microseconds a call. */
+  /**
+   * Boot-time clock; runs on while the machine is suspended. Its resolution is 10 ms, and a call
+   * takes some microseconds.
+   */
   getBootMs(): number;
 }
 
--- a/packages/clock/src/waiting.ts
+++ b/packages/clock/src/waiting.ts
@@ -1,7 +1,7 @@
 import type {Clock} from './clock.ts';
 
 /**
- * Waits for a time to pass, or rejects with the signal's reason once it is aborted.
+ * Resolves after a time; rejects with the signal's reason if it aborts before.
  *
  * @param durationMs Milliseconds to wait.
  */
@@ -27,17 +27,17 @@
   });
 }
 
-/** A signal that aborts at a time on the given clock, or with its parent. */
+/** A signal that aborts at a deadline or with its parent. */
 export interface DeadlineSignal {
   readonly signal: AbortSignal;
-  /** Lets go of the timer and the parent; call it once the work is over. */
+  /** Cancels the timer and detaches from the parent; to be called once the work is done. */
   release(): void;
 }
 
 /**
- * Creates a signal that aborts `timeoutMs` from now or with its parent.
+ * Creates a signal that aborts `timeoutMs` milliseconds from now or with its parent.
  *
- * @param createReason Makes the abort's reason when the time has run out.
+ * @param createReason Creates the abort reason when the timeout expires.
  */
 export function createDeadlineSignal(
   clock: Clock,
