--- a/packages/claims/src/claimed-calls.ts
+++ b/packages/claims/src/claimed-calls.ts
@@ -5,19 +5,20 @@
 import {match} from 'ts-pattern';
 import type {ClaimIdentity, ClaimStore, HeldClaim} from './claim-store.ts';
 
-/** What claimed calls work with. */
+/** Dependencies of ClaimedCalls. */
 export interface ClaimedCallsParts {
   readonly claims: ClaimStore;
   readonly clock: Clock;
   /**
-   * Asks the instance that holds a claim how its call ended, waiting for the
-   * end at most `waitMs`. Undefined where it cannot be asked or knows nothing.
+   * Asks the instance that holds a claim how its call ended, and waits at most
+   * `waitMs` for the end. Resolves to undefined if that instance cannot be
+   * reached or does not know the call.
    */
   readonly askOutcome: (
     claim: HeldClaim,
     waitMs: number,
   ) => Promise<CallOutcome | undefined>;
-  /** Called where a claim has no known outcome. */
+  /** Called if a claim has no known outcome. */
   readonly recordUnknownOutcome: (claim: HeldClaim) => void;
 }
 
@@ -28,41 +29,33 @@
   endedAtMs: number | undefined;
 }
 
-/**
- * Milliseconds before an outcome that could not be recorded is recorded again.
- */
+/** Milliseconds between attempts to record an outcome in the store. */
 const RECORD_RETRY_MS = 500;
+/** Milliseconds for which outcomes are retained in memory; longer than any deadline. */
+const OUTCOME_RETENTION_MS = 60_000;
 /**
- * Milliseconds for which outcomes are at hand without the store; longer than
- * any deadline.
- */
-const KEPT_OUTCOME_MS = 60_000;
-/**
- * Milliseconds before its deadline at which a call whose claim is not there is
- * refused.
+ * Milliseconds before a call's deadline at which a call without a claim is
+ * refused, and the wait for an earlier call's outcome ends.
  */
 const CLAIM_MARGIN_MS = 50;
 
-/**
- * Runs calls under a claim: each at most once, resends get the first one's
- * answer.
- */
+/** Runs each claimed call at most once and answers resends with the first call's answer. */
 export class ClaimedCalls {
   private readonly parts: ClaimedCallsParts;
-  private readonly local = new Map<string, LocalCall>();
-  private readonly unfinished = new Set<Promise<unknown>>();
+  private readonly localCalls = new Map<string, LocalCall>();
+  private readonly unfinishedWork = new Set<Promise<unknown>>();
 
   constructor(parts: ClaimedCallsParts) {
     this.parts = parts;
   }
 
   /**
-   * Runs a call unless it was claimed before, and returns its answer.
+   * Runs a call unless it was claimed before, and returns the answer.
    *
    * @param deadlineMs Milliseconds since the epoch.
-   * @param runCall Runs the call; must not throw, but say how the call ended.
+   * @param runCall Runs the call and resolves to its outcome; must not reject.
    * @throws HollowstackError `store-unavailable` (not run), `key-reused`,
-   *   `outcome-unknown`, or what `runCall` made of its own failure.
+   *   `outcome-unknown`, or an error by which `runCall` reports its failure.
    */
   runOnce(
     identity: ClaimIdentity,
@@ -70,7 +63,7 @@
     runCall: () => Promise<CallOutcome>,
   ): Promise<StoredAnswer | undefined> {
     const running = this.runUnderClaim(identity, deadlineMs, runCall);
-    this.followToEnd(running);
+    this.addUnfinished(running);
     return running;
   }
 
@@ -83,16 +76,19 @@
     if (claim.record.requestId !== identity.requestId) {
       return this.answerResend(claim, identity, deadlineMs, runCall);
     }
-    return this.runHeld(claim, deadlineMs, runCall);
+    return this.runClaimed(claim, deadlineMs, runCall);
   }
 
-  /** Tells another instance how a call of this one ended; waits for its end. */
+  /**
+   * Finds how a call of this instance ended, and waits at most `waitMs` for its
+   * end; used to answer other instances.
+   */
   async findOutcome(
     claimKey: string,
     requestId: string,
     waitMs: number,
   ): Promise<CallOutcome | undefined> {
-    const call = this.local.get(claimKey);
+    const call = this.localCalls.get(claimKey);
     if (!call || call.requestId !== requestId) return undefined;
     return Promise.race([
       call.outcome,
@@ -100,10 +96,10 @@
     ]);
   }
 
-  /** Resolves once every call has ended and is recorded; a planned stop waits for it. */
+  /** Resolves once every call has ended and is recorded; a graceful stop waits for it. */
   async waitForRecording(): Promise<void> {
-    while (this.unfinished.size > 0) {
-      await Promise.allSettled(this.unfinished);
+    while (this.unfinishedWork.size > 0) {
+      await Promise.allSettled(this.unfinishedWork);
     }
   }
 
@@ -117,9 +113,9 @@
       return (await claims.acquireClaim(identity, giveUpAtMs)).claim;
     } catch (error) {
       if (!(error instanceof HollowstackError)) throw error;
-      // The claim may yet stand or come to stand in the service. A resend that
-      // finds it is told by this instance that the call did not run.
-      this.recordLocal(identity, Promise.resolve({type: 'not-run'}));
+      // The claim may have been stored or may still be stored. Recording `not-run`
+      // lets this instance answer a resend that finds the claim.
+      this.recordLocalCall(identity, Promise.resolve({type: 'not-run'}));
       throw new HollowstackError(
         error.kind,
         `the call was not run: its claim could not be made (${error.message})`,
@@ -128,19 +124,19 @@
     }
   }
 
-  private async runHeld(
+  private async runClaimed(
     claim: HeldClaim,
     deadlineMs: number,
     runCall: () => Promise<CallOutcome>,
   ): Promise<StoredAnswer | undefined> {
     const {clock} = this.parts;
-    // A pause may have come between the claim and this line.
+    // The process may have been paused since the claim was acquired.
     const isLate = clock.getNow() >= deadlineMs;
     const running: Promise<CallOutcome> = isLate
       ? Promise.resolve({type: 'not-run'})
       : runCall();
     const {key, record} = claim;
-    this.recordLocal({key, requestId: record.requestId}, running);
+    this.recordLocalCall({key, requestId: record.requestId}, running);
     const outcome = await running;
     this.startRecording(claim, outcome);
     if (isLate) {
@@ -168,7 +164,7 @@
     return match(outcome)
       .with({type: 'finished'}, ({answer}) => answer)
       .with({type: 'not-run'}, () =>
-        this.takeOver(claim, identity, deadlineMs, runCall),
+        this.takeOverClaim(claim, identity, deadlineMs, runCall),
       )
       .with({type: 'unknown'}, undefined, () => {
         this.parts.recordUnknownOutcome(claim);
@@ -187,69 +183,69 @@
     const {clock, askOutcome, claims} = this.parts;
     const waitMs = Math.max(0, deadlineMs - clock.getNow() - CLAIM_MARGIN_MS);
     const {key, record} = claim;
-    const local = this.local.get(key);
-    const told =
-      local?.requestId === record.requestId
+    const localCall = this.localCalls.get(key);
+    const reported =
+      localCall?.requestId === record.requestId
         ? await this.findOutcome(key, record.requestId, waitMs)
         : await askOutcome(claim, waitMs);
-    if (told) return told;
-    // The holder is gone or knows nothing; it may have recorded the outcome
-    // before it went.
+    if (reported) return reported;
+    // The holder is unreachable or does not know the call, but may have recorded
+    // the outcome before it stopped.
     const stored = await claims
       .readClaim(key)
       .catch((): undefined => undefined);
     return stored?.record.outcome;
   }
 
-  private async takeOver(
+  private async takeOverClaim(
     claim: HeldClaim,
     identity: ClaimIdentity,
     deadlineMs: number,
     runCall: () => Promise<CallOutcome>,
   ): Promise<StoredAnswer | undefined> {
-    const held = await this.parts.claims
+    const replaced = await this.parts.claims
       .replaceClaim(claim, identity)
       .catch((error: unknown) => {
-        this.recordLocal(identity, Promise.resolve({type: 'not-run'}));
+        this.recordLocalCall(identity, Promise.resolve({type: 'not-run'}));
         throw error;
       });
-    if (held) return this.runHeld(held, deadlineMs, runCall);
+    if (replaced) return this.runClaimed(replaced, deadlineMs, runCall);
     throw new HollowstackError(
       'overloaded',
       'another resend of the call came first; send it again for its answer',
     );
   }
 
-  private recordLocal(
+  private recordLocalCall(
     {key, requestId}: Pick<ClaimIdentity, 'key' | 'requestId'>,
     outcome: Promise<CallOutcome>,
   ): void {
-    this.removeOldCalls();
+    this.removeExpiredCalls();
     const call: LocalCall = {requestId, outcome, endedAtMs: undefined};
-    this.local.delete(key);
-    this.local.set(key, call);
+    this.localCalls.delete(key);
+    this.localCalls.set(key, call);
     const markEnded = () => {
       call.endedAtMs = this.parts.clock.getNow();
     };
     outcome.then(markEnded, markEnded);
   }
 
-  private removeOldCalls(): void {
-    const oldestMs = this.parts.clock.getNow() - KEPT_OUTCOME_MS;
-    for (const [key, {endedAtMs}] of this.local) {
+  private removeExpiredCalls(): void {
+    const oldestMs = this.parts.clock.getNow() - OUTCOME_RETENTION_MS;
+    for (const [key, {endedAtMs}] of this.localCalls) {
       if (endedAtMs === undefined) continue;
       if (endedAtMs > oldestMs) return;
-      this.local.delete(key);
+      this.localCalls.delete(key);
     }
   }
 
   private startRecording(claim: HeldClaim, outcome: CallOutcome): void {
-    this.followToEnd(this.recordUntilDone(claim, outcome));
+    this.addUnfinished(this.recordUntilDone(claim, outcome));
   }
 
-  private followToEnd(work: Promise<unknown>): void {
-    const removeWork = () => this.unfinished.delete(work);
-    this.unfinished.add(work);
+  private addUnfinished(work: Promise<unknown>): void {
+    const removeWork = () => this.unfinishedWork.delete(work);
+    this.unfinishedWork.add(work);
     work.then(removeWork, removeWork);
   }
 
--- a/packages/claims/src/index.ts
+++ b/packages/claims/src/index.ts
@@ -1,8 +1,8 @@
-/** At most one run for a call that carries an idempotency key. */
+/** Runs calls with an idempotency key at most once. */
 export {
   ClaimStore,
   type ClaimIdentity,
-  type ClaimVerdict,
+  type ClaimResult,
   type HeldClaim,
 } from './claim-store.ts';
 export {ClaimedCalls, type ClaimedCallsParts} from './claimed-calls.ts';
--- a/packages/clock/src/suspension-detector.ts
+++ b/packages/clock/src/suspension-detector.ts
@@ -1,38 +1,40 @@
 import type {TimeSources} from './time-sources.ts';
 
-/** Milliseconds between two looks at the wall clock; time is read far more often. */
-const LOOK_EVERY_MS = 5;
-/** Milliseconds by which wall and steady clock may part before the cause is looked for. */
+/** Milliseconds between two reads of the wall clock; callers ask for the time far more often. */
+const CHECK_INTERVAL_MS = 5;
+/** Milliseconds by which wall and monotonic clock may diverge before the cause is determined. */
 const MAX_DRIFT_MS = 100;
-/** Milliseconds by which two measurements of one suspension may differ. */
-const AGREEMENT_MS = 100;
+/** Milliseconds by which wall and boot-time clock may differ about one suspension. */
+const MEASUREMENT_TOLERANCE_MS = 100;
 
 /**
- * Finds how long the machine was suspended. The steady clock does not count that time, the
- * wall clock and the boot-time clock both do; a wall clock that was set moves alone.
+ * Measures how long the machine was suspended. The monotonic clock stops during a suspension,
+ * while the wall clock and the boot-time clock run on. If only the wall clock has moved, it
+ * was set.
  */
 export class SuspensionDetector {
   private readonly sources: TimeSources;
   private wallOffsetMs: number;
   private bootOffsetMs: number;
-  private lookedAtMs: number;
+  private checkedAtMs: number;
 
   constructor(sources: TimeSources) {
     this.sources = sources;
     const steadyMs = sources.getSteadyMs();
-    this.lookedAtMs = steadyMs;
+    this.checkedAtMs = steadyMs;
     this.wallOffsetMs = sources.getWallMs() - steadyMs;
     this.bootOffsetMs = sources.getBootMs() - steadyMs;
   }
 
   /**
-   * Returns the milliseconds of a suspension since the last look; 0 for none.
+   * Returns the milliseconds for which the machine was suspended since the last check; 0 if
+   * it was not.
    *
-   * @param steadyMs What the steady clock shows now.
+   * @param steadyMs Current time of the monotonic clock.
    */
   readSuspendedMs(steadyMs: number): number {
-    if (steadyMs - this.lookedAtMs < LOOK_EVERY_MS) return 0;
-    this.lookedAtMs = steadyMs;
+    if (steadyMs - this.checkedAtMs < CHECK_INTERVAL_MS) return 0;
+    this.checkedAtMs = steadyMs;
     const {sources} = this;
     const driftMs = sources.getWallMs() - steadyMs - this.wallOffsetMs;
     if (Math.abs(driftMs) <= MAX_DRIFT_MS) return 0;
@@ -41,7 +43,8 @@
     const bootDriftMs = bootOffsetMs - this.bootOffsetMs;
     this.bootOffsetMs = bootOffsetMs;
     const isSuspension =
-      driftMs > 0 && Math.abs(bootDriftMs - driftMs) <= AGREEMENT_MS;
+      driftMs > 0 &&
+      Math.abs(bootDriftMs - driftMs) <= MEASUREMENT_TOLERANCE_MS;
     return isSuspension ? driftMs : 0;
   }
 }
--- a/packages/result-checkpoint/src/checkpoint-writer.ts
+++ b/packages/result-checkpoint/src/checkpoint-writer.ts
@@ -11,24 +11,24 @@
   /** Returns numbers from 0 to below 1. */
   readonly random: () => number;
   readonly store: Pick<KeyValueStore, 'runTransaction' | 'getHistoryId'>;
-  /** This life of this instance. */
+  /** Identity of this incarnation of the instance. */
   readonly self: ResultOwner;
-  /** Lists the results that this instance holds as a coordinator, the oldest first. */
+  /** Lists the results that this instance tracks as the coordinator, oldest first. */
   readonly listStoredResults: () => readonly OwnedResult[];
 }
 
 /**
- * Milliseconds between two checkpoints. Results are kept for about a second, half of it
- * in a call, when they have no handle yet; each checkpoint costs a call to the store.
+ * Milliseconds between two checkpoints. Results exist for about a second, and for half of
+ * it their call still runs and they have no handle; each checkpoint costs a call to the store.
  */
-const CHECKPOINT_MS = 400;
+const CHECKPOINT_INTERVAL_MS = 400;
 
-/** Writes the results that this instance holds to the store, for as long as it holds some. */
+/** Writes a checkpoint of the results that this instance tracks whenever they have changed. */
 export class CheckpointWriter {
   private readonly parts: CheckpointWriterParts;
   private readonly task: RepeatingTask;
-  private written = encodeCheckpoint([]);
-  /** Store history to which `written` applies. */
+  private writtenText = encodeCheckpoint([]);
+  /** History id of the store that contains `writtenText`. */
   private historyId = '';
   private hasFailed = false;
 
@@ -36,11 +36,11 @@
     this.parts = parts;
     this.task = new RepeatingTask(parts.clock, parts.random, async () => {
       await this.writeChanges();
-      return CHECKPOINT_MS;
+      return CHECKPOINT_INTERVAL_MS;
     });
   }
 
-  /** Writes until stopped. */
+  /** Writes checkpoints until stopped, then resolves. */
   start(): Promise<void> {
     return this.task.start();
   }
@@ -53,17 +53,17 @@
     const {store, self, listStoredResults, logger} = this.parts;
     const text = encodeCheckpoint(listStoredResults());
     const historyId = store.getHistoryId();
-    if (text === this.written && historyId === this.historyId) return;
+    if (text === this.writtenText && historyId === this.historyId) return;
     try {
       await store.runTransaction({
         comparisons: [],
         onSuccess: [{type: 'put', key: getCheckpointKey(self), value: text}],
       });
-      this.written = text;
+      this.writtenText = text;
       this.historyId = historyId;
       this.hasFailed = false;
     } catch (error) {
-      // The next round writes what is held by then.
+      // The next round writes the results that exist by then.
       if (!this.hasFailed) {
         const reason = error instanceof Error ? error.message : String(error);
         logger.logEvent('results.checkpoint-failed', {reason});
--- a/packages/result-checkpoint/src/result-checkpoint.test.ts
+++ b/packages/result-checkpoint/src/result-checkpoint.test.ts
@@ -1,7 +1,7 @@
-// All instances of a fleet were lost in a burst and were back two seconds later. The
-// upstreams of its stages kept the results of the lost requests for another two and a half:
-// 800 items found no memory, calls made 5 to 15 items where they make 30 otherwise, and half
-// of the requests that were let in were late. Nobody could name those results any more.
+// Guards against orphaned results. When all instances of a fleet were lost and restarted two
+// seconds later, no instance knew the handles of the lost requests' results any more, and the
+// stage upstreams stored them for another 2.5 s: 800 items found no memory, batches shrank
+// from 30 to between 5 and 15 items, and half of the admitted requests were late.
 import {ManualClock} from '@hollowstack/clock';
 import {
   EventLogger,
@@ -26,7 +26,7 @@
 import {CheckpointWriter, OrphanReleaser} from './index.ts';
 import {assembleOrphanPlan} from './orphan-plan.ts';
 
-class ListingLogger extends EventLogger {
+class RecordingLogger extends EventLogger {
   readonly lines: Array<[EventName, EventFields]> = [];
 
   logEvent(name: EventName, fields: EventFields = {}): void {
@@ -34,10 +34,10 @@
   }
 }
 
-/** The keys of a store that may be away. */
+/** An in-memory store that can be unavailable. */
 class KeyStore {
   readonly values = new Map<string, string>();
-  isAway = false;
+  isUnavailable = false;
   writeCount = 0;
 
   getHistoryId(): string {
@@ -45,7 +45,7 @@
   }
 
   async readRange({start}: KeyRange): Promise<RangeResult> {
-    this.checkAway();
+    this.checkAvailability();
     const keyValues = [...this.values]
       .filter(([key]) => key.startsWith(start))
       .map(([key, value]) => ({key, value, modRevision: 1, createRevision: 1}));
@@ -53,7 +53,7 @@
   }
 
   async runTransaction({onSuccess}: Transaction): Promise<TransactionResult> {
-    this.checkAway();
+    this.checkAvailability();
     this.writeCount += 1;
     for (const step of onSuccess) {
       if (step.type === 'put') this.values.set(step.key, step.value);
@@ -62,13 +62,13 @@
     return {succeeded: true, storeId: 's', storeRevision: 1, reads: []};
   }
 
-  private checkAway(): void {
-    if (this.isAway) throw new StoreError('away', 'none');
+  private checkAvailability(): void {
+    if (this.isUnavailable) throw new StoreError('unavailable', 'none');
   }
 }
 
-// Pauses without jitter.
-function getMiddle(): number {
+// As a random number, 0.5 means a pause without jitter.
+function getHalf(): number {
   return 0.5;
 }
 
@@ -81,26 +81,26 @@
   return {handle, address: '10.0.0.1:80', failureDomain: 'a', owner};
 }
 
-/** One coordinator's life, with what it holds and what it has given back. */
+/** Creates one incarnation of a coordinator, with the results that it tracks and has released. */
 function createCoordinator(
   store: KeyStore,
   clock: ManualClock,
   startedAtMs: number,
 ) {
-  const logger = new ListingLogger();
-  const held: OwnedResult[] = [];
+  const logger = new RecordingLogger();
+  const stored: OwnedResult[] = [];
   const released: string[] = [];
   const starts = new Map<string, number>();
   const parts = {
     clock,
     logger,
     store,
-    random: getMiddle,
+    random: getHalf,
     self: {instance: 'c', startedAtMs},
   };
   const writer = new CheckpointWriter({
     ...parts,
-    listStoredResults: () => held,
+    listStoredResults: () => stored,
   });
   const releaser = new OrphanReleaser({
     ...parts,
@@ -117,20 +117,23 @@
     writer.stop();
     releaser.stop();
   };
-  return {logger, held, released, starts, start, stop};
+  return {logger, stored, released, starts, start, stop};
 }
 
-/** Has a coordinator hold results of two instances and lose its process. */
+/** Runs a coordinator that tracks results of two instances until its process is lost. */
 async function runUntilLost(store: KeyStore, clock: ManualClock) {
   const lost = createCoordinator(store, clock, 1000);
-  lost.held.push(createResult('h1', 'x', 1000), createResult('h2', 'y', 1000));
+  lost.stored.push(
+    createResult('h1', 'x', 1000),
+    createResult('h2', 'y', 1000),
+  );
   lost.start();
   await clock.advance(1000);
   lost.stop();
   return lost;
 }
 
-test('what is held for instances that have started again is an orphan, and nothing else', () => {
+test('only the results of instances that have restarted are orphans', () => {
   const results = [
     createResult('again', 'x', 1000),
     createResult('lives', 'y', 1000),
@@ -153,7 +156,7 @@
   );
 });
 
-test('a checkpoint reads back as what was held, and is bounded', () => {
+test('a checkpoint decodes to the encoded results, and its size is limited', () => {
   const results = [createResult('h1', 'x', 1), createResult('h2', 'y', 2)];
   assert.deepEqual(decodeCheckpoint(encodeCheckpoint(results)), results);
   const many = Array.from({length: MAX_CHECKPOINT_HANDLES + 5}, (_, index) =>
@@ -164,7 +167,7 @@
   assert.ok(text.length < 400_000, `${text.length} bytes`);
 });
 
-test('after the loss of all, results are given back as their instances start again', async () => {
+test('after the loss of all instances, results are released as their owners restart', async () => {
   const [store, clock] = [new KeyStore(), new ManualClock(0)];
   await runUntilLost(store, clock);
   const next = createCoordinator(store, clock, 3000);
@@ -179,7 +182,7 @@
   next.stop();
 });
 
-test('results of instances that live are left to them, whoever coordinates', async () => {
+test('a new coordinator does not release the results of instances that still run', async () => {
   const [store, clock] = [new KeyStore(), new ManualClock(0)];
   await runUntilLost(store, clock);
   const next = createCoordinator(store, clock, 3000);
@@ -190,22 +193,22 @@
   next.stop();
 });
 
-test('a store that is away as the next one starts is asked again', async () => {
+test('a store that is unavailable when the next coordinator starts is read again', async () => {
   const [store, clock] = [new KeyStore(), new ManualClock(0)];
   await runUntilLost(store, clock);
-  store.isAway = true;
+  store.isUnavailable = true;
   const next = createCoordinator(store, clock, 3000);
   next.starts.set('x', 3000).set('y', 3000);
   next.start();
   await clock.advance(1000);
   assert.deepEqual(next.released, []);
-  store.isAway = false;
+  store.isUnavailable = false;
   await clock.advance(300);
   assert.deepEqual(next.released, ['h1', 'h2']);
   next.stop();
 });
 
-test('a checkpoint that cannot be read is logged and costs the others nothing', async () => {
+test('an unreadable checkpoint is logged and does not affect the others', async () => {
   const [store, clock] = [new KeyStore(), new ManualClock(0)];
   await runUntilLost(store, clock);
   store.values.set('hollowstack/results/d/1', 'no checkpoint');
@@ -224,10 +227,10 @@
   next.stop();
 });
 
-test('more checkpoints than a transaction takes are taken out by several coordinators', async () => {
+test('checkpoints beyond the limit of a transaction are deleted by the next coordinator', async () => {
   const [store, clock] = [new KeyStore(), new ManualClock(0)];
-  for (let life = 1; life <= 40; life++) {
-    store.values.set(`hollowstack/results/d/${life}`, '{"groups":[]}');
+  for (let incarnation = 1; incarnation <= 40; incarnation++) {
+    store.values.set(`hollowstack/results/d/${incarnation}`, '{"groups":[]}');
   }
   const counts: number[] = [];
   for (const startedAtMs of [1000, 2000]) {
@@ -240,16 +243,16 @@
   assert.deepEqual(counts, [10, 0]);
 });
 
-test('nothing is written while nothing changes, and a store that is away is logged once', async () => {
+test('nothing is written without a change, and an unavailable store is logged once', async () => {
   const [store, clock] = [new KeyStore(), new ManualClock(0)];
   const writer = createCoordinator(store, clock, 1000);
   writer.start();
   await clock.advance(5000);
   assert.equal(store.writeCount, 0);
-  store.isAway = true;
-  writer.held.push(createResult('h1', 'x', 1000));
+  store.isUnavailable = true;
+  writer.stored.push(createResult('h1', 'x', 1000));
   await clock.advance(5000);
-  store.isAway = false;
+  store.isUnavailable = false;
   await clock.advance(5000);
   assert.equal(store.writeCount, 1);
   const failures = writer.logger.lines.filter(
--- a/packages/store/src/watch-hub.ts
+++ b/packages/store/src/watch-hub.ts
@@ -8,22 +8,23 @@
   type WatchProgress,
 } from './key-value-store.ts';
 
-/** One reader of the shared watch. */
+/** A subscriber of the shared watch. */
 export interface WatchSubscription {
   readonly range: KeyRange;
-  /** Called with the changes in the range, in the store's order. */
+  /** Called with the changes in the range, in the order of the store. */
   handleEvents(events: readonly WatchEvent[]): void;
-  /** Called when every change of the range up to a time was handled. */
+  /** Called when all changes of the range up to a time have been handled. */
   handleProgress?(knownUntilMs: number): void;
   /**
-   * Called when the watch stands anew: changes may have been missed before it.
+   * Called when the watch is established or re-established: changes before that may have been
+   * missed.
    *
-   * @param isAfterOutage Whether the store had refused to watch in between.
+   * @param isAfterOutage Whether the store was unavailable in between.
    */
   handleResync(isAfterOutage: boolean): void;
 }
 
-/** Milliseconds between attempts to begin the watch again. */
+/** Milliseconds between attempts to re-establish the watch. */
 export interface WatchBackoff {
   readonly minBackoffMs: number;
   readonly maxBackoffMs: number;
@@ -34,7 +35,7 @@
   readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly logger: EventLogger;
-  /** Returns numbers from 0 to below 1; spreads reconnects. */
+  /** Returns numbers from 0 to below 1; spreads reconnections. */
   readonly random: () => number;
   readonly backoff?: WatchBackoff;
 }
@@ -44,38 +45,44 @@
   maxBackoffMs: 5000,
 };
 
-/** Holds one watch for all readers of an instance, and opens it again when it ends. */
+/** Shares one watch among all subscribers of an instance and re-establishes it when it ends. */
 export class WatchHub {
   private readonly parts: WatchHubParts;
   private readonly backoff: WatchBackoff;
   private readonly subscriptions: WatchSubscription[] = [];
-  private readonly controller = new AbortController();
-  private attempt = new AbortController();
+  private readonly stopController = new AbortController();
+  private attemptController = new AbortController();
   private failures = 0;
-  /** When the watch last stood anew. */
-  private stoodAtMs: number | undefined;
+  /** When the current watch was established; undefined while there is none. */
+  private establishedAtMs: number | undefined;
 
   constructor(parts: WatchHubParts) {
     this.parts = parts;
     this.backoff = parts.backoff ?? DEFAULT_BACKOFF;
   }
 
-  /** Adds a reader; to be called before start. */
+  /** Adds a subscriber; to be called before start. */
   addSubscription(subscription: WatchSubscription): void {
     this.subscriptions.push(subscription);
   }
 
   /** Watches until stopped. */
   async start(): Promise<void> {
-    const {signal} = this.controller;
+    const {signal} = this.stopController;
     while (!signal.aborted) {
-      this.attempt = new AbortController();
-      const either = AbortSignal.any([signal, this.attempt.signal]);
-      const error = await this.watchOnce(either).catch((thrown: unknown) =>
-        this.attempt.signal.aborted ? this.attempt.signal.reason : thrown,
+      this.attemptController = new AbortController();
+      const combinedSignal = AbortSignal.any([
+        signal,
+        this.attemptController.signal,
+      ]);
+      const error = await this.watchOnce(combinedSignal).catch(
+        (thrown: unknown) =>
+          this.attemptController.signal.aborted
+            ? this.attemptController.signal.reason
+            : thrown,
       );
       if (signal.aborted) return;
-      this.logEnd(error);
+      this.logWatchEnd(error);
       await waitFor(this.parts.clock, this.computeBackoffMs(), signal).catch(
         () => {},
       );
@@ -84,71 +91,71 @@
   }
 
   stop(): void {
-    this.controller.abort(new Error('stopped'));
+    this.stopController.abort(new Error('stopped'));
   }
 
-  /** Gives the present watch up, as one that is known to be dead, and opens it anew. */
+  /** Ends the current watch, which is known to be unresponsive, and opens a new one. */
   refresh(): void {
-    this.attempt.abort(new Error('the watch is silent'));
+    this.attemptController.abort(new Error('the watch is unresponsive'));
   }
 
   private async watchOnce(signal: AbortSignal): Promise<void> {
     const {store} = this.parts;
     const ranges = this.subscriptions.map(({range}) => range);
     const watch = store.watchRanges(ranges, 0, signal, progress =>
-      this.sendProgress(progress),
+      this.deliverProgress(progress),
     );
     for await (const events of watch) {
       if (events.length === 0) this.startResync();
-      else this.sendToReaders(events);
+      else this.deliverEvents(events);
     }
   }
 
   private startResync(): void {
-    // One failure is a watch that was cut; a second one is a store that is away.
+    // A single failure means a broken connection; a second one means that the store is unavailable.
     const {clock, logger, store} = this.parts;
     const isAfterOutage = this.failures > 1 || store.isAfterOutage();
     const {failures} = this;
     this.failures = 0;
-    this.stoodAtMs = clock.getNow();
+    this.establishedAtMs = clock.getNow();
     logger.logEvent('store.watch-standing', {isAfterOutage, failures});
-    for (const reader of this.subscriptions) {
-      reader.handleResync(isAfterOutage);
+    for (const subscription of this.subscriptions) {
+      subscription.handleResync(isAfterOutage);
     }
   }
 
-  private sendToReaders(events: readonly WatchEvent[]): void {
+  private deliverEvents(events: readonly WatchEvent[]): void {
     for (const subscription of this.subscriptions) {
-      const own = events.filter(event =>
+      const matching = events.filter(event =>
         isInRange(event.key, subscription.range),
       );
-      if (own.length > 0) subscription.handleEvents(own);
+      if (matching.length > 0) subscription.handleEvents(matching);
     }
   }
 
-  private sendProgress({start, knownUntilMs}: WatchProgress): void {
+  private deliverProgress({start, knownUntilMs}: WatchProgress): void {
     for (const subscription of this.subscriptions) {
       if (subscription.range.start !== start) continue;
       subscription.handleProgress?.(knownUntilMs);
     }
   }
 
-  private logEnd(error: unknown): void {
+  private logWatchEnd(error: unknown): void {
     const {clock, logger} = this.parts;
-    const {stoodAtMs, failures} = this;
-    this.stoodAtMs = undefined;
+    const {establishedAtMs, failures} = this;
+    this.establishedAtMs = undefined;
     logger.logEvent('store.watch-ended', {
       reason: error instanceof Error ? error.message : 'ended by the store',
       failures,
       stoodMs:
-        stoodAtMs === undefined
+        establishedAtMs === undefined
           ? undefined
-          : Math.round(clock.getNow() - stoodAtMs),
+          : Math.round(clock.getNow() - establishedAtMs),
     });
   }
 
-  // Full jitter: after an outage the whole fleet comes back spread over the
-  // backoff, not in one instant.
+  // Full jitter: after an outage the reconnections of the fleet are spread over the
+  // back-off instead of arriving at once.
   private computeBackoffMs(): number {
     const {minBackoffMs, maxBackoffMs} = this.backoff;
     const ceiling = Math.min(maxBackoffMs, minBackoffMs * 2 ** this.failures);
