--- a/packages/assignment/src/cold-engines.test.ts
+++ b/packages/assignment/src/cold-engines.test.ts
@@ -1,4 +1,4 @@
-// Guards against overloading cold engines. A hot prompt sends 40 requests per second
+// Guards against overloading cold engines. A hot prompt gets 40 requests per second
 // while its preferred engine, or a whole failure domain, is cold and can serve only 9
 // requests per second per engine. Without warm-up limits, the preferred engine got all
 // of them.
--- a/packages/assignment/src/engine-choice.test.ts
+++ b/packages/assignment/src/engine-choice.test.ts
@@ -158,7 +158,7 @@
   }
 });
 
-test('a hot prompt waits for a slot at its engine until others are queued there', () => {
+test('a request waits for a slot at the engine that has its shared part cached, unless others already wait there', () => {
   const choose = (activeCount: number) =>
     chooseEngine(
       createInput(
--- a/packages/stages/src/batch-plan.test.ts
+++ b/packages/stages/src/batch-plan.test.ts
@@ -106,15 +106,15 @@
   const next = createJob('next', {dueAtMs: 9000, priority: 9});
   const begun = createJob('begun', {dueAtMs: 200, hasInputs: true});
   const waiting = createJob('waiting', {dueAtMs: 50});
-  const listIds = (jobs: WaitingJob[]) => {
+  const getFirstId = (jobs: WaitingJob[]) => {
     const capacity = {...createInput([], []).capacity, batchSize: 1};
     const input = createInput(jobs, [createUpstream('u')], 200);
     return assembleBatches({...input, capacity})[0].parts[0].jobId;
   };
-  assert.equal(listIds([late, fresh]), 'fresh');
-  assert.equal(listIds([late, next]), 'next');
-  assert.equal(listIds([waiting, begun]), 'begun');
-  assert.equal(listIds([begun, late]), 'late');
+  assert.equal(getFirstId([late, fresh]), 'fresh');
+  assert.equal(getFirstId([late, next]), 'next');
+  assert.equal(getFirstId([waiting, begun]), 'begun');
+  assert.equal(getFirstId([begun, late]), 'late');
 });
 
 test('a more urgent job goes before one that is due a little earlier', () => {
--- a/packages/stages/src/early-input-releaser.test.ts
+++ b/packages/stages/src/early-input-releaser.test.ts
@@ -37,8 +37,8 @@
 }
 
 /**
- * Creates a chain of two stages: `make` produces results, of which each upstream can store
- * `memory`, and `read` reads them.
+ * Creates a chain of two stages: `make` produces results, and `read` reads them. Each upstream
+ * of `make` can store `memory` results.
  */
 function createChain(options: {
   readonly memory: number;
@@ -169,7 +169,7 @@
   );
 });
 
-test('inputs are stored until the answer if memory is sufficient or other stages read them too', async () => {
+test('inputs stay stored until their call is answered if memory is sufficient or other stages read them too', async () => {
   for (const [memory, isOnlyReader] of [
     [100, true],
     [10, false],
@@ -189,7 +189,7 @@
   }
 });
 
-test('inputs are stored while pieces of their job still wait for a call', async () => {
+test('inputs stay stored while pieces of their job still wait for a call', async () => {
   const chain = createChain({memory: 10});
   const inputs = await createInputs(chain, 6);
   const read = chain.coordinator.runJob(createJob('read', 12, inputs));
@@ -235,7 +235,7 @@
   return doneCount;
 }
 
-test('early release of inputs raises the throughput of a stage that lacks memory by a quarter', async () => {
+test('early release of inputs raises the throughput of a stage that lacks memory by at least a quarter', async () => {
   const before = await countChains(false);
   const after = await countChains(true);
   assert.ok(after >= before * 1.25, `${before} -> ${after}`);
--- a/packages/stages/src/job-table.ts
+++ b/packages/stages/src/job-table.ts
@@ -56,8 +56,8 @@
     message: string,
     retryAfterMs?: number,
   ): void {
-    const lost = state.listBrokenCalls(this.parts.getNow());
-    const brokenCalls = lost.length > 0 ? lost : undefined;
+    const calls = state.listBrokenCalls(this.parts.getNow());
+    const brokenCalls = calls.length > 0 ? calls : undefined;
     state.fail({failure, message, retryAfterMs, brokenCalls});
     this.parts.releaseResults(state.listResults());
   }
--- a/packages/stages/src/learned-call-times.test.ts
+++ b/packages/stages/src/learned-call-times.test.ts
@@ -127,7 +127,7 @@
   }
 }
 
-test('expected durations match the real ones if calls have an additional fixed duration', async () => {
+test('expected durations match the real ones if the fixed duration of calls is longer than configured', async () => {
   const ratios = await runWaves({callMs: 252, pieceMs: 4, slowness: {}});
   checkNear(ratios, 0.95, 1.05);
 });
--- a/packages/stages/src/limited-stage.test.ts
+++ b/packages/stages/src/limited-stage.test.ts
@@ -20,7 +20,7 @@
 
 const CALL_MS = 50;
 const WINDOW_MS = 4000;
-const LIMIT = 1;
+const LIMIT_PER_SECOND = 1;
 const SERVICE = {
   name: 'rank',
   stage: {
@@ -50,7 +50,10 @@
   const table = new LimitTable({clock, logger});
   for (const id of limited) {
     const upstream = {id, service: 'rank'};
-    table.recordLimit({upstream, requestId: 'r', sentAtMs: 0}, LIMIT);
+    table.recordLimit(
+      {upstream, requestId: 'r', sentAtMs: 0},
+      LIMIT_PER_SECOND,
+    );
   }
   const limiter = new SendLimiter({
     clock,
@@ -144,7 +147,10 @@
   const setup = createCoordinator(['a']);
   const {made, submitted} = await runLoad(setup, 4 * WINDOW_MS, 40);
   const limited = setup.callsAtMs.get('a')!;
-  assert.ok(countPeak(limited) <= LIMIT * 4 + 1, `${countPeak(limited)}`);
+  assert.ok(
+    countPeak(limited) <= LIMIT_PER_SECOND * 4 + 1,
+    `${countPeak(limited)}`,
+  );
   assert.ok(limited.length >= 5, `${limited.length}`);
   assert.ok(made >= 0.98 * (submitted - 15), `${made} of ${submitted}`);
 });
@@ -153,8 +159,11 @@
   const setup = createCoordinator(['a', 'b']);
   await runLoad(setup, 4 * WINDOW_MS, 40);
   for (const times of setup.callsAtMs.values()) {
-    assert.ok(countPeak(times) <= LIMIT * 4 + 1, `${countPeak(times)}`);
-    assert.ok(times.length > 0.7 * LIMIT * 16, `${times.length}`);
+    assert.ok(
+      countPeak(times) <= LIMIT_PER_SECOND * 4 + 1,
+      `${countPeak(times)}`,
+    );
+    assert.ok(times.length > 0.7 * LIMIT_PER_SECOND * 16, `${times.length}`);
   }
   const mostReleases = countPeak(setup.releasesAtMs);
   assert.ok(mostReleases <= 4, `${mostReleases}`);
--- a/packages/stages/src/poison-job.test.ts
+++ b/packages/stages/src/poison-job.test.ts
@@ -87,7 +87,7 @@
   assert.equal(crashed.length, 3);
 });
 
-test('a job of an isolated request shares no call from the start', async () => {
+test('a job of an isolated request never shares a call, not even its first one', async () => {
   const {clock, calls, outcomes, run} = createCoordinator();
   run('j1');
   run(POISON, true);
--- a/packages/stages/src/stage-admission.test.ts
+++ b/packages/stages/src/stage-admission.test.ts
@@ -98,7 +98,7 @@
   assert.ok(refused.retryAfterMs >= 300 && refused.retryAfterMs <= 2400);
 });
 
-test('a shortage of result memory delays requests as busy upstreams do', () => {
+test('fewer requests are admitted if result memory is short', () => {
   // Each request has ten results of one byte, stored for 400 ms in a memory of 5 bytes.
   const admission = createAdmission(new ManualClock(), 5);
   const withMemory = countAdmitted(createAdmission());
--- a/packages/stages/src/stale-view.test.ts
+++ b/packages/stages/src/stale-view.test.ts
@@ -9,8 +9,8 @@
 const REFRESH_MS = 100;
 
 /**
- * Creates a coordinator with a stale view, until a refresh reveals that an upstream has
- * left.
+ * Creates a coordinator whose view of the upstreams is stale: the upstream `left` has left, and
+ * `stays` has replaced it. A refresh applies this only if `isConfirmed` is set.
  */
 function createStaleCoordinator(isConfirmed: boolean) {
   const clock = new ManualClock(0);
