--- a/packages/admission/src/deadline.ts
+++ b/packages/admission/src/deadline.ts
@@ -7,7 +7,10 @@
   readonly waitMs: number;
   /** Predicted milliseconds of the current stage and those after it. */
   readonly remainingMs: number;
-  /** Share of the predicted time that must fit; below 1, requests that may still make it pass. */
+  /**
+   * Share of the predicted time that must fit before the deadline; a share below 1 allows
+   * for requests that take less time than predicted.
+   */
   readonly requiredShare: number;
 }
 
--- a/packages/admission/src/retry-budget.ts
+++ b/packages/admission/src/retry-budget.ts
@@ -9,7 +9,7 @@
 
   /**
    * @param share Retries allowed per request, such as 0.2.
-   * @param burst Most retries that the budget can accumulate; also its initial balance.
+   * @param burst Maximum number of retries that the budget can accumulate; also its initial balance.
    */
   constructor(share = 0.2, burst = 20) {
     this.share = share;
--- a/packages/admission/src/stage-queue.ts
+++ b/packages/admission/src/stage-queue.ts
@@ -27,13 +27,16 @@
 export interface QueuePolicy {
   /** Work with a priority number up to this one is urgent. */
   readonly maxUrgentPriority: number;
-  /** Factor on the initial slots for urgent work: upstreams run it before other work. */
+  /**
+   * Multiple of the initial slots that urgent work may use; it may exceed the limit, because
+   * upstreams run it before other work.
+   */
   readonly urgentFactor: number;
   /** Share of the slots that work that is not urgent may use, 0 to 1. */
   readonly unreservedShare: number;
 }
 
-/** The policy that the daemon uses. */
+/** The policy of all pools. */
 export const DEFAULT_QUEUE_POLICY: QueuePolicy = {
   maxUrgentPriority: 2,
   urgentFactor: 3,
--- a/packages/assignment/src/engine-choice.ts
+++ b/packages/assignment/src/engine-choice.ts
@@ -60,8 +60,8 @@
  */
 const FULL_PENALTY_MS = 2000;
 /**
- * Most requests that wait for a slot at an engine: engines queue a few and
- * refuse further ones as full.
+ * Maximum number of requests that wait for a slot at an engine: engines queue
+ * a few and refuse further ones as full.
  */
 const MAX_QUEUED = 2;
 
--- a/packages/assignment/src/engine-directory.ts
+++ b/packages/assignment/src/engine-directory.ts
@@ -131,8 +131,9 @@
   }
 
   /**
-   * Chooses an engine. A final request counts toward the engine's load until its
-   * end is reported or the assignment expires.
+   * Chooses an engine. A final request, which is sent now, counts toward the engine's
+   * load until its end is reported or the assignment expires; for any other request the
+   * choice is only a forecast.
    *
    * @returns undefined if no engine may take the request.
    */
--- a/packages/placement/src/placement-controller.ts
+++ b/packages/placement/src/placement-controller.ts
@@ -25,7 +25,7 @@
   readonly name: string;
   readonly targets: readonly PlacementTarget[];
   readonly modelsPerEngine: number;
-  /** Most concurrent model loads in the pool, to limit the load on the weight store. */
+  /** Maximum number of concurrent model loads in the pool; limits the load on the weight store. */
   readonly maxLoads: number;
   readonly engines: readonly ManagedEngine[];
 }
--- a/packages/placement/src/placement-plan.ts
+++ b/packages/placement/src/placement-plan.ts
@@ -37,8 +37,8 @@
  * spread over failure domains. Copies beyond the target are unloaded once enough
  * usable engines have the model.
  *
- * @param modelsPerEngine Most models that one engine can have loaded.
- * @param maxLoads Most loads to start now.
+ * @param modelsPerEngine Maximum number of models that one engine can have loaded.
+ * @param maxLoads Maximum number of loads to start now.
  */
 export function assemblePlacementPlan(
   targets: readonly PlacementTarget[],
--- a/packages/routes/src/routed-configuration.ts
+++ b/packages/routes/src/routed-configuration.ts
@@ -15,15 +15,21 @@
 /** One service that gets a share of a route's requests. */
 export type RouteTarget = z.infer<typeof routeTargetSchema>;
 
-/** A preparatory stage of a request: its items are processed in batches before the request can run. */
+/**
+ * A preparatory stage of a request: its independent work items, the pieces, are
+ * processed in batches before the request can run.
+ */
 export const routeStageSchema = z.object({
   service: z.string(),
   /** Indexes of the stages whose results this stage reads. */
   after: z.array(z.number().int().nonnegative()),
-  /** Approximate size of the result of one item, in bytes. */
+  /** Approximate size of the result of one piece, in bytes. */
   resultBytes: z.number().nonnegative(),
 });
-/** A preparatory stage of a request: its items are processed in batches before the request can run. */
+/**
+ * A preparatory stage of a request: its independent work items, the pieces, are
+ * processed in batches before the request can run.
+ */
 export type RouteStage = z.infer<typeof routeStageSchema>;
 
 /** A route: which requests it matches, which services they go to, and their limits. */
@@ -56,11 +62,11 @@
   concurrency: z.number().int().positive(),
   /** Calls that may be queued at one upstream. */
   backlog: z.number().int().nonnegative(),
-  /** Most items in a call. */
+  /** Maximum number of pieces in a call. */
   batchSize: z.number().int().positive(),
-  /** Fixed overhead of a call in milliseconds, without its items. */
+  /** Fixed overhead of a call in milliseconds, without its pieces. */
   callMs: z.number().nonnegative(),
-  /** Approximate milliseconds per item. */
+  /** Approximate milliseconds per piece. */
   pieceMs: z.number().nonnegative(),
   /** Bytes of results that one upstream can store. */
   resultBytes: z.number().nonnegative(),
@@ -84,7 +90,7 @@
 export const routedServiceSchema = z.object({
   name: z.string(),
   healthPath: z.string(),
-  /** Most connections that one upstream accepts, summed over all callers. */
+  /** Maximum number of connections that one upstream accepts from all callers together. */
   maxConnections: z.number().int().positive(),
   stage: stageCapacitySchema.optional(),
   /** Present if a freshly started upstream can serve less than a warm one. */
@@ -132,7 +138,7 @@
 /** The complete configuration of routed requests at one revision. */
 export type RoutedConfiguration = z.infer<typeof routedConfigurationSchema>;
 
-/** An upstream as it registers itself in the store. */
+/** An upstream as registered in the store, with the fields that the reading instance adds. */
 export const registeredUpstreamSchema = z.object({
   /** Identifies this incarnation of the upstream; a restart gets a new id. */
   id: z.string(),
@@ -148,12 +154,18 @@
   coldMs: z.number().nonnegative().optional(),
   /** Increases with each write of the registration in one incarnation; absent if not reported. */
   writeCount: z.number().nonnegative().optional(),
-  /** Whether operators have evacuated its failure domain. */
+  /** Whether operators have evacuated its failure domain; added by the reading instance. */
   isEvacuated: z.boolean().optional(),
-  /** Time until which it is cold according to its registration, in milliseconds of the steady clock. */
+  /**
+   * Time until which it is cold according to its registration, by the clock of the
+   * instance that read it, which adds this field.
+   */
   coldUntilMs: z.number().optional(),
-  /** When the last evacuation of its failure domain ended, in milliseconds of the steady clock. */
+  /**
+   * When the last evacuation of its failure domain ended, by the clock of the instance
+   * that read the registration and adds this field.
+   */
   returnedAtMs: z.number().optional(),
 });
-/** An upstream as it registers itself in the store. */
+/** An upstream as registered in the store, with the fields that the reading instance adds. */
 export type RegisteredUpstream = z.infer<typeof registeredUpstreamSchema>;
--- a/packages/routes/src/upstream-state.ts
+++ b/packages/routes/src/upstream-state.ts
@@ -9,8 +9,8 @@
 }
 
 /**
- * Returns the time until which an upstream is cold, in milliseconds of the steady
- * clock; 0 if it did not register as cold or its service has no warm-up. After an
+ * Returns the time until which an upstream is cold, by the clock of this instance;
+ * 0 if it did not register as cold or its service has no warm-up. After an
  * evacuation, an upstream counts as cold for a full warm-up, because the end of
  * the evacuation may become known before the registration that reports it cold.
  */
--- a/packages/routing/src/cache-index.ts
+++ b/packages/routing/src/cache-index.ts
@@ -1,6 +1,6 @@
 import type {CacheEvent} from '@hollowstack/types';
 
-/** Most prefixes stored per engine, which bounds memory. */
+/** Maximum number of prefixes stored per engine; bounds memory. */
 const MAX_PREFIXES = 20_000;
 
 /**
--- a/packages/routing/src/health.ts
+++ b/packages/routing/src/health.ts
@@ -29,7 +29,7 @@
   readonly reportRestores: boolean;
 }
 
-/** The policy that the daemon uses. */
+/** The policy that applies unless the settings change it. */
 export const DEFAULT_HEALTH_POLICY: HealthPolicy = {
   failuresToEject: 3,
   trialDelayMs: 1000,
