--- a/packages/stages/src/batch-plan.ts
+++ b/packages/stages/src/batch-plan.ts
@@ -79,7 +79,7 @@
  * upstreams have become free, on average one of them in the job's own domain.
  */
 const LONG_WAIT_SHARE = 0.5;
-/** Slowness from which on an upstream is used only if the others cannot keep up. */
+/** An upstream of at least this slowness is used only if the others cannot keep up. */
 export const SLOW_FACTOR = 2;
 /** Wait, about one call long, after which slow upstreams are used as well. */
 const SLOW_UPSTREAM_WAIT_MS = 200;
@@ -190,7 +190,8 @@
     const maxByMemory = countFittingPieces(job, bounds.freeBytes - bytes);
     const fitting = Math.min(wanted, maxByMemory, bounds.maxSize - pieces);
     if (fitting <= 0) continue;
-    // Otherwise a job is split only if it does not fit in a call of its own.
+    // Unless `maySplit` is set, only the first job of a call is split: one that does not fit in
+    // a call of its own.
     if (fitting < wanted && parts.length > 0 && !bounds.maySplit) continue;
     const addedMs = fitting * job.pieceMs;
     if (!bounds.maySplit && workMs + addedMs > spareMs) continue;
--- a/packages/stages/src/broken-call.ts
+++ b/packages/stages/src/broken-call.ts
@@ -2,10 +2,10 @@
 import type {JobState, LocalBrokenCall} from './job-state.ts';
 
 /**
- * Isolates the jobs of a call whose connection broke before they are retried: one of them may
+ * Isolates the jobs of a broken call from all others before they are retried: one of them may
  * have crashed the upstream, and a retry of the same batch would crash the next one.
  *
- * @returns The jobs that are not retried.
+ * @returns The jobs that must not be retried.
  */
 export function splitBrokenCall(
   states: ReadonlySet<JobState>,
--- a/packages/stages/src/early-input-releaser.ts
+++ b/packages/stages/src/early-input-releaser.ts
@@ -3,7 +3,7 @@
 import type {JobState, InFlightPiece} from './job-state.ts';
 import type {StageFleet} from './stage-fleet.ts';
 
-/** Dependencies of InputReads. */
+/** Dependencies of EarlyInputReleaser. */
 export interface EarlyInputReleaserParts {
   readonly clock: Clock;
   readonly fleet: Pick<StageFleet, 'findStoredInput' | 'isShortOfMemory'>;
@@ -61,7 +61,8 @@
     }
   }
 
-  // Inputs that another coordinator accounts for are left to the submitter of the job.
+  // If another coordinator accounts for one of the inputs, all are left for the submitter of
+  // the job to release.
   private releaseInputs(state: JobState): void {
     const {fleet, releaseResults} = this.parts;
     const inputs = state.job.inputs.map(handle =>
--- a/packages/stages/src/isolation.ts
+++ b/packages/stages/src/isolation.ts
@@ -26,7 +26,7 @@
 }
 
 /**
- * Lists the jobs that may share a call with the first job.
+ * Lists the first job and the jobs that may share a call with it.
  *
  * @param jobs Sorted by urgency, the most urgent first.
  */
--- a/packages/stages/src/pending-work-table.ts
+++ b/packages/stages/src/pending-work-table.ts
@@ -2,8 +2,8 @@
 import type {StageStep} from '@hollowstack/types';
 
 /**
- * Progress of a step of an admitted request: `planned` while its inputs are not ready,
- * `queued` while pieces wait for a call, `running` once all pieces are in flight.
+ * Progress of a step, which is one stage of an admitted request: `planned` while its inputs are
+ * not ready, `queued` while pieces wait for a call, `running` once all pieces are in flight.
  */
 export type StepPhase = 'planned' | 'queued' | 'running';
 
@@ -27,7 +27,7 @@
  * Computes how long a stage occupies one upstream, including its share of the fixed duration
  * of calls.
  *
- * @param fill Mean ratio of pieces in a call to the batch size.
+ * @param fillRatio Mean ratio of pieces in a call to the batch size.
  */
 export function computeWorkMs(
   capacity: StageCapacity,
--- a/packages/stages/src/request-stages.ts
+++ b/packages/stages/src/request-stages.ts
@@ -16,8 +16,8 @@
 const DEFAULT_REQUEST_MS = 120;
 
 /**
- * Share of an upstream's result memory from which on the results of a stage count as large,
- * so that the stage is deferred. For smaller results a delay would save almost no memory.
+ * Results of a stage that take at least this share of an upstream's result memory count as
+ * large, and the stage is deferred. For smaller results a delay would save almost no memory.
  */
 const LARGE_RESULT_SHARE = 0.04;
 /** Interval at which a deferred stage checks the progress of the others. */
@@ -43,7 +43,7 @@
   readonly capacities: readonly (StageCapacity | undefined)[];
   /** Pieces of each stage; a stage with 0 is skipped. */
   readonly pieceCounts: readonly number[];
-  /** Source data of pieces without inputs. */
+  /** Key of the source data of pieces without inputs. */
   readonly key: string | undefined;
   /** Milliseconds until the request's objective. */
   readonly dueInMs: number;
@@ -214,7 +214,7 @@
     return {results, bytesByDomain};
   }
 
-  /** Records the time from the end of the stages to the first event of the request. */
+  /** Records the milliseconds from the send of the request, after its stages, to its first event. */
   recordFirstEvent(firstMs: number): void {
     this.durations.recordMs(this.createRequestKey(), firstMs);
   }
@@ -231,14 +231,17 @@
     return `${this.input.route.name}/request`;
   }
 
-  /** Renders the duration of each stage since its submission, for the log. */
+  /** Renders the milliseconds from the start to the end of each stage, for the log. */
   renderDurations(): string {
     return this.input.route.stages
       .map((_, index) => `${index}:${this.tookMs[index] ?? '-'}`)
       .join(' ');
   }
 
-  /** Releases all remaining results; called once the request has read them. */
+  /**
+   * Releases all remaining results; called once the request has read them or a stage has
+   * failed.
+   */
   releaseAll(): void {
     this.dispatcher.releaseResults([...this.unreleased.values()].flat());
     this.unreleased.clear();
--- a/packages/stages/src/result-memory.ts
+++ b/packages/stages/src/result-memory.ts
@@ -43,7 +43,7 @@
     this.usedBytes.set(upstreamId, this.getUsedBytes(upstreamId) + bytes);
   }
 
-  /** Cancels a reservation whose call brought no result. */
+  /** Cancels a reservation whose call produced no result. */
   cancelReservation(upstreamId: string, bytes: number): void {
     this.removeBytes(upstreamId, bytes);
   }
--- a/packages/stages/src/service-times.ts
+++ b/packages/stages/src/service-times.ts
@@ -113,7 +113,7 @@
     });
   }
 
-  /** Records the fill ratio of a call that left pieces of its service waiting. */
+  /** Records the fill ratio of a call that left at least a full batch waiting. */
   recordFillRatio(service: string, fillRatio: number): void {
     const before = this.getFillRatio(service);
     this.fillRatios.set(
--- a/packages/stages/src/stage-admission.ts
+++ b/packages/stages/src/stage-admission.ts
@@ -54,24 +54,24 @@
  */
 const LATE_PRIORITY_STEP = 1000;
 /**
- * Share of the remaining time within which a late request must be predicted to begin its
- * answer: later requests that can be in time go before it, and callers abandon a stream
- * without events before their time is over. Without this bound late requests were held until
- * their deadline in overload, and the benchmark score fell from 0.580 to 0.543 (mean of five
- * simulated days).
+ * A late request is refused if the predicted time to its first event exceeds this share of its
+ * remaining time: requests that arrive after it but can be in time go before it, and callers
+ * abandon a stream without events before their time is over. Without this bound late requests
+ * waited until their deadline under overload, and the benchmark score fell from 0.580 to 0.543
+ * (mean of five simulated days).
  */
 const LATE_START_SHARE = 0.4;
 /**
  * Safety factor on the predicted waits, which are the uncertain part of a prediction: half of
- * the requests wait longer than predicted. Only waits are scaled, so a chain of stages whose
- * work takes 0.55 of its time is admitted up to a prediction of 0.9 of that time, and one with
- * a large prompt whose work takes 0.85 of it up to 0.97: the latter has no time left for a
- * retry, so a refusal would take its only chance.
+ * the requests wait longer than predicted. Only waits are scaled: a chain of stages whose work
+ * takes 0.55 of the time until its objective is admitted if it is predicted to take at most 0.9
+ * of that time; one with a large prompt, whose work takes 0.85, if it is predicted to take at
+ * most 0.97. The latter has no time left for a retry, so a refusal would take its only chance.
  */
 const WAIT_MARGIN = 1.3;
 /**
- * Minimum share of the time until its objective that a request must spend waiting for others
- * to be refused; with a shorter wait a retry would do no better.
+ * A request that would be late is refused only if it waits for others for more than this share
+ * of the time until its objective; after a shorter wait a retry would do no better.
  */
 const MIN_WAIT_SHARE = 0.1;
 /**
@@ -81,7 +81,7 @@
 const DEFAULT_RETENTION_CALLS = 4;
 /**
  * Bounds of the retry delay as shares of the remaining time; the delay is drawn uniformly
- * between them. Callers wait for only about a third of it. Overload lasts for seconds, so a
+ * between them. Callers wait only about a third of the delay. Overload lasts for seconds, so a
  * caller that retries sooner is refused again, or is admitted late and takes the capacity of a
  * request that would be in time. With a delay of 0.4 s or more for all requests, a class of
  * requests that is refused in bursts was finally refused 261 times out of 3,040, with these
@@ -140,9 +140,9 @@
   }
 
   /**
-   * Records the time from the end of a request's stages to its first event. All instances
-   * report it to the coordinator: one of 200 instances has a request of a route only every
-   * second or two, too few to learn from.
+   * Records the milliseconds from the send of a request, after its stages, to its first event.
+   * All instances report it to the coordinator: one of 200 instances has a request of a route
+   * only every second or two, which is too few to learn from.
    */
   recordFirstEvent(requestId: string, firstMs: number): void {
     const request = this.admitted.get(requestId);
--- a/packages/stages/src/stage-coordinator.ts
+++ b/packages/stages/src/stage-coordinator.ts
@@ -121,7 +121,7 @@
     return this.admission.judge(request);
   }
 
-  /** Records the time from the end of a request's stages to its first event. */
+  /** Records the milliseconds from the send of a request, after its stages, to its first event. */
   recordFirstEvent(requestId: string, firstMs: number): void {
     this.admission.recordFirstEvent(requestId, firstMs);
   }
@@ -188,8 +188,8 @@
   }
 
   /**
-   * Fails all jobs; after a pause of this process their submitters use another
-   * coordinator.
+   * Fails all jobs. Called after this process was paused, since the submitters have changed to
+   * another coordinator by then.
    */
   failAllJobs(message: string): void {
     this.jobs.failAll(message);
--- a/packages/stages/src/stage-dispatcher.ts
+++ b/packages/stages/src/stage-dispatcher.ts
@@ -33,10 +33,14 @@
 /** A job without the fields that each submission adds: its id and owner. */
 export type UnsentStageJob = Omit<StageJob, 'jobId' | 'owner'>;
 
-/** Maximum submissions of a job; it is submitted again if its coordinator is gone. */
+/**
+ * Maximum submissions of a job, which is submitted again if its coordinator is gone. After the
+ * last one the job runs at this instance.
+ */
 const MAX_SUBMISSIONS = 2;
 /**
- * Added to the remaining time of a job, so that the coordinator can report its deadline.
+ * Time by which the wait for a coordinator's reply exceeds the remaining time of the job, so
+ * that the coordinator can still report that the deadline has passed.
  */
 const REPLY_MARGIN_MS = 100;
 /** Timeout of a cancellation, which no request waits for. */
@@ -48,7 +52,7 @@
 
 /**
  * Submits jobs to the instance that coordinates stages. If two instances act as coordinator at
- * a time, batches are less full, but results stay correct.
+ * the same time, batches are less full, but results stay correct.
  */
 export class StageDispatcher {
   private readonly parts: StageDispatcherParts;
@@ -140,7 +144,10 @@
     };
   }
 
-  /** Releases results; after a failure they occupy memory until they expire. */
+  /**
+   * Releases results through the coordinator, or through this instance if the coordinator
+   * cannot be notified.
+   */
   releaseResults(results: readonly StageResult[]): void {
     if (results.length === 0) return;
     const coordinator = chooseCoordinator(this.parts.membership);
--- a/packages/stages/src/stage-fleet.ts
+++ b/packages/stages/src/stage-fleet.ts
@@ -51,7 +51,7 @@
 }
 
 /**
- * Used share of an upstream's result memory from which on the memory counts as short: the
+ * An upstream's result memory counts as short once at least this share of it is in use: the
  * results of a full batch may no longer fit.
  */
 const SHORT_MEMORY_SHARE = 0.5;
@@ -95,7 +95,10 @@
     return {...configured, callMs};
   }
 
-  /** Replaces the registered upstreams; the results stored at removed ones are dropped. */
+  /**
+   * Replaces the registered upstreams. The results stored at removed ones are no longer
+   * accounted for.
+   */
   setUpstreams(records: readonly RegisteredUpstream[]): void {
     const listed = new Set(records.map(({id}) => id));
     for (const id of this.upstreams.keys()) {
@@ -116,8 +119,10 @@
   }
 
   /**
-   * Checks right before the first byte of a call is sent that the upstream still takes work:
-   * it may have started to leave or to back off, or reached its rate limit, since the plan.
+   * Acquires permission to send a call to an upstream, right before its first byte is sent.
+   *
+   * @returns False if, since the call was planned, the upstream has left, has started to leave
+   * or to back off, or has reached its rate limit.
    */
   acquireSend(id: string): boolean {
     const upstream = this.upstreams.get(id);
@@ -174,8 +179,8 @@
   }
 
   /**
-   * Returns the remaining back-off in milliseconds of the upstream at an address; undefined
-   * if it is leaving, so that its results need not be released.
+   * Returns the remaining back-off in milliseconds of the upstream at an address; 0 if none is
+   * registered there, undefined if it is leaving, so that its results need not be released.
    */
   getReleaseWaitMs(address: string): number | undefined {
     for (const {record} of this.upstreams.values()) {
@@ -280,7 +285,7 @@
     this.resultMemory.reserve(upstreamId, bytes);
   }
 
-  /** Cancels a reservation whose call brought no result. */
+  /** Cancels a reservation whose call produced no result. */
   cancelReservation(upstreamId: string, bytes: number): void {
     this.resultMemory.cancelReservation(upstreamId, bytes);
   }
@@ -304,7 +309,7 @@
     return this.resultMemory.listOwned();
   }
 
-  /** Returns whether an upstream of stages is registered at an address. */
+  /** Returns whether a stage upstream is registered at an address. */
   hasAddress(address: string): boolean {
     return [...this.upstreams.values()].some(
       ({record}) => record.address === address,
--- a/packages/stages/src/stage-protocol.ts
+++ b/packages/stages/src/stage-protocol.ts
@@ -7,7 +7,7 @@
   readonly piece: number;
   /** Milliseconds until the request is given up. */
   readonly remainingMs: number;
-  /** Source data of a piece without inputs. */
+  /** Key of the source data of a piece without inputs. */
   readonly key: string | undefined;
   /** Handles of the results that the piece reads. */
   readonly inputs: readonly string[];
--- a/packages/stages/src/stage-upstream.ts
+++ b/packages/stages/src/stage-upstream.ts
@@ -43,7 +43,10 @@
     this.backOffs = backOffs;
   }
 
-  /** Returns whether the upstream is registered for work, healthy and not backing off. */
+  /**
+   * Returns whether the upstream accepts work, is not backing off, and is healthy or due a
+   * trial call.
+   */
   isUsable(nowMs: number): boolean {
     return (
       isAcceptingWork(this.record) &&
