--- a/packages/gateway/src/attempt-runner.ts
+++ b/packages/gateway/src/attempt-runner.ts
@@ -136,7 +136,7 @@
         outcome.deliverFailure();
         return;
       }
-      const unavailability = this.parts.pool.findShortage(
+      const unavailability = this.parts.pool.findUnavailability(
         request.facts.service,
       );
       throw createUnavailableError(
@@ -172,7 +172,9 @@
   }
 
   private createNoneLeftError(request: RoutedRequest): HollowstackError {
-    const unavailability = this.parts.pool.findShortage(request.facts.service);
+    const unavailability = this.parts.pool.findUnavailability(
+      request.facts.service,
+    );
     return createUnavailableError(
       request,
       unavailability?.reason ?? 'no upstream left',
@@ -279,8 +281,8 @@
     const {chooser, pool, retryBudget} = this.parts;
     const {route, service} = request.facts;
     chooser.recordUnresponsive(request, upstreamId);
-    const hasAttempt = request.sentTo.length < route.maxAttempts;
-    if (!hasAttempt || !isRepeatable(route)) return false;
+    const hasAttemptLeft = request.sentTo.length < route.maxAttempts;
+    if (!hasAttemptLeft || !isRepeatable(route)) return false;
     const others = pool.listCandidates(service, new Set(request.sentTo));
     return others.length > 0 && retryBudget.hasRetry(service);
   }
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -122,7 +122,7 @@
   async run(): Promise<AttemptOutcome> {
     const {request, upstream, clock, acquireSend} = this.parts;
     let isWithdrawn = false;
-    const ranBefore = request.getRan();
+    const ranBefore = request.getRunStatus();
     const call = new SingleCall(
       {
         address: upstream.address,
--- a/packages/gateway/src/coordinator-search.test.ts
+++ b/packages/gateway/src/coordinator-search.test.ts
@@ -66,7 +66,7 @@
 interface Fleet {
   readonly clock: ManualClock;
   /** Members of the instances that restart, by instance id. */
-  readonly members: ReadonlyMap<string, Membership>;
+  readonly memberships: ReadonlyMap<string, Membership>;
   readonly searches: readonly CoordinatorSearch[];
   readonly strongIds: readonly string[];
 }
@@ -90,7 +90,7 @@
     cores: index < STRONG_COUNT ? 1.35 : 0.3,
   }));
   const listening = new Map<string, Membership>();
-  const members = new Map<string, Membership>();
+  const memberships = new Map<string, Membership>();
   const searches: CoordinatorSearch[] = [];
   const sendRequest = async (
     address: string,
@@ -109,7 +109,7 @@
       clock,
       random,
     });
-    members.set(self.id, membership);
+    memberships.set(self.id, membership);
     const search = new CoordinatorSearch({
       link: {sendRequest, closePeer: () => {}},
       membership,
@@ -126,8 +126,8 @@
   const strongIds = records
     .slice(0, STRONG_COUNT)
     .map(({id}) => id)
-    .filter(id => members.has(id));
-  return {clock, members, searches, strongIds};
+    .filter(id => memberships.has(id));
+  return {clock, memberships, searches, strongIds};
 }
 
 for (const [seed, deadShare] of [
@@ -138,10 +138,13 @@
   [5, 0.8],
 ] as const) {
   test(`after the loss of all instances, the restarted ones agree on a coordinator within 0.3 s of their start (seed ${seed}, ${deadShare} stay down)`, async () => {
-    const {clock, members, searches, strongIds} = startFleet(seed, deadShare);
+    const {clock, memberships, searches, strongIds} = startFleet(
+      seed,
+      deadShare,
+    );
     await clock.advance(AGREEMENT_MS);
     const chosen = new Set(
-      [...members].map(
+      [...memberships].map(
         ([id, membership]) => chooseCoordinator(membership)?.id ?? id,
       ),
     );
--- a/packages/gateway/src/coordinator-search.ts
+++ b/packages/gateway/src/coordinator-search.ts
@@ -41,7 +41,7 @@
 export class CoordinatorSearch {
   private readonly parts: CoordinatorSearchParts;
   private readonly task: RepeatingTask;
-  private readonly askedIds = new Set<string>();
+  private readonly pendingIds = new Set<string>();
   private startedAtMs = 0;
   private isListKnown = false;
 
@@ -68,7 +68,7 @@
    * would replace the current coordinator.
    */
   isSettled(): boolean {
-    return this.isListKnown && this.askedIds.size === 0;
+    return this.isListKnown && this.pendingIds.size === 0;
   }
 
   stop(): void {
@@ -86,13 +86,13 @@
 
   private async askCandidate(candidate: PeerRecord): Promise<void> {
     const {id, address} = candidate;
-    if (this.askedIds.has(id)) return;
-    this.askedIds.add(id);
+    if (this.pendingIds.has(id)) return;
+    this.pendingIds.add(id);
     const {link, membership} = this.parts;
     const reply = await link
       .sendRequest(address, {type: 'ping'}, ASK_TIMEOUT_MS)
       .catch((): undefined => undefined);
-    this.askedIds.delete(id);
+    this.pendingIds.delete(id);
     if (reply?.type === 'done') {
       membership.recordContact(candidate);
       return;
--- a/packages/gateway/src/create-gateway.ts
+++ b/packages/gateway/src/create-gateway.ts
@@ -139,12 +139,12 @@
     random,
     releasesInputsEarly: settings.policy.readRelease,
   });
-  const notes = new NotificationQueue({clock, link});
+  const notifications = new NotificationQueue({clock, link});
   const dispatcher = new StageDispatcher({
     clock,
     logger,
     link,
-    notes,
+    notes: notifications,
     membership,
     local: coordinator,
   });
@@ -169,7 +169,7 @@
     limitedSends,
     assigner: new EngineAssigner({
       link,
-      notifications: notes,
+      notifications,
       membership,
       localDirectory: directory,
       cachedPrompts,
--- a/packages/gateway/src/evacuated-domains.ts
+++ b/packages/gateway/src/evacuated-domains.ts
@@ -108,10 +108,10 @@
   /** Applies changes of the operators' keys that the watch reports. */
   applyEvents(events: readonly WatchEvent[]): void {
     const failureDomains = new Set(this.failureDomains);
-    const before = this.revision.getNewest();
+    const revisionBefore = this.revision.getNewest();
     for (const {type, key, modRevision} of events) {
       // A watch that began before the last full read repeats older changes.
-      if (modRevision <= before) continue;
+      if (modRevision <= revisionBefore) continue;
       this.revision.recordChange(modRevision);
       for (const failureDomain of this.parseKey(key)) {
         const isEvacuated = type === 'put';
@@ -120,7 +120,7 @@
         this.changesSinceRead.set(failureDomain, {isEvacuated, modRevision});
       }
     }
-    if (this.revision.getNewest() === before) return;
+    if (this.revision.getNewest() === revisionBefore) return;
     this.applyDomains(failureDomains, 'watch');
   }
 
--- a/packages/gateway/src/gateway-request-handler.ts
+++ b/packages/gateway/src/gateway-request-handler.ts
@@ -92,7 +92,7 @@
       const arrivedAtMs = clock.getNow();
       const maxWaitMs = this.startedAtMs + MAX_START_WAIT_MS - arrivedAtMs;
       await lifecycle.waitForStart(clock, maxWaitMs);
-      const {table, ...admitted} = await this.admitByFreshView(incoming);
+      const {table, ...admitted} = await this.admitWithFreshView(incoming);
       if (requestId === undefined) {
         throw new HollowstackError('bad-request', 'the request has no id');
       }
@@ -144,7 +144,7 @@
     });
   }
 
-  private async admitByFreshView(
+  private async admitWithFreshView(
     incoming: IncomingMessage,
   ): Promise<AdmittedRequest> {
     const {freshnessGuard} = this.parts;
@@ -219,13 +219,14 @@
       writeError(outgoing, error, facts.requestId, protocol);
     });
     const removeRejectHandler = this.parts.lifecycle.addRejectHandler(() => {
-      if (request.getRan() === 'no') controller.abort(createStoppingError());
+      if (request.getRunStatus() === 'no')
+        controller.abort(createStoppingError());
     });
     outgoing.once('close', () => {
       if (outgoing.writableFinished) return;
       controller.abort(
         new HollowstackError('caller-gone', 'the caller has gone', {
-          ran: request.getRan(),
+          ran: request.getRunStatus(),
         }),
       );
     });
@@ -273,7 +274,7 @@
       revision: facts.revision,
       viewAgeMs: this.parts.freshness.getState().ageMs,
       outcome,
-      ran: request.getRan(),
+      ran: request.getRunStatus(),
       reason,
       sentTo: request.sentTo.join(','),
       upstreamsRevision: request.registryState?.storeRevision,
@@ -324,7 +325,7 @@
   error: HollowstackError,
   request: RoutedRequest,
 ): HollowstackError {
-  const ran = request.getRan();
+  const ran = request.getRunStatus();
   if (ran === 'no' || error.ran !== 'no') return error;
   return new HollowstackError(error.kind, error.message, {ran, cause: error});
 }
--- a/packages/gateway/src/limit-propagation.test.ts
+++ b/packages/gateway/src/limit-propagation.test.ts
@@ -6,7 +6,7 @@
 
 /** Time within which a limit, its change or its end must reach all instances. */
 const MAX_PROPAGATION_MS = 3000;
-const STARTUP_MS = 8000;
+const START_MS = 8000;
 const SEED_COUNT = 4;
 const UPSTREAM = {id: 'b', service: 'plain'};
 
@@ -25,7 +25,7 @@
       for (const id of ['a', 'b']) fleet.store.putUpstream(id, 'ready');
       fleet.store.putConfiguration(1);
       await fleet.start();
-      await clock.advance(STARTUP_MS);
+      await clock.advance(START_MS);
       for (const {client} of fleet.instances) client.isRefused = true;
       const [first] = fleet.instances;
       for (const limit of [2, 0.5, undefined]) {
--- a/packages/gateway/src/releasable-inputs.ts
+++ b/packages/gateway/src/releasable-inputs.ts
@@ -27,7 +27,7 @@
 export class InputsLostError extends HollowstackError {
   constructor(reason: string, request: RoutedRequest) {
     super('upstream-unavailable', reason, {
-      ran: request.getRan(),
+      ran: request.getRunStatus(),
       retryAfterMs: UNAVAILABLE_RETRY_AFTER_MS,
     });
   }
--- a/packages/gateway/src/removed-entries.ts
+++ b/packages/gateway/src/removed-entries.ts
@@ -25,13 +25,13 @@
    * an entry of a full read always may; one of a watch event may unless its write count has
    * risen.
    */
-  isOutdated(key: string, entry: LastWrite, isChange: boolean): boolean {
+  isOutdated(key: string, entry: LastWrite, isSingleChange: boolean): boolean {
     const last = this.lastWrites.get(key);
     if (!last) return false;
     const {startedAtMs: lastStart = 0, writeCount: lastCount = 0} = last;
     const {startedAtMs = 0, writeCount = 0} = entry;
     if (startedAtMs !== lastStart) return startedAtMs < lastStart;
-    return !isChange || writeCount <= lastCount;
+    return !isSingleChange || writeCount <= lastCount;
   }
 
   addWithheld(key: string, text: string): void {
--- a/packages/gateway/src/request-runner.ts
+++ b/packages/gateway/src/request-runner.ts
@@ -122,7 +122,7 @@
   // No stage runs for a request that no upstream could take afterwards.
   private checkAvailability(request: RoutedRequest): void {
     const {pool} = this.parts;
-    const unavailability = pool.findShortage(request.facts.service);
+    const unavailability = pool.findUnavailability(request.facts.service);
     if (!unavailability || this.isOverBeforeStagesEnd(unavailability, request))
       return;
     throw new HollowstackError('upstream-unavailable', unavailability.reason, {
--- a/packages/gateway/src/routed-request.ts
+++ b/packages/gateway/src/routed-request.ts
@@ -113,7 +113,7 @@
     return Math.round(this.firstEventAtMs - this.facts.arrivedAtMs);
   }
 
-  getRan(): RunStatus {
+  getRunStatus(): RunStatus {
     return this.ran;
   }
 
--- a/packages/gateway/src/test-utils/view-fleet.ts
+++ b/packages/gateway/src/test-utils/view-fleet.ts
@@ -136,7 +136,7 @@
       logger,
       metrics: new MetricsRegistry(),
     });
-    const holder = new RouteHolder(protocol, logger, clock);
+    const routeHolder = new RouteHolder(protocol, logger, clock);
     const evacuated = new EvacuatedDomains({protocol, logger, clock});
     const registry = new UpstreamRegistry(protocol, logger, clock, evacuated);
     evacuated.addListener(change => registry.applyEvacuations(change));
@@ -164,7 +164,7 @@
         requestProtocol: protocol,
       },
       link,
-      routeHolder: holder,
+      routeHolder,
       registry,
       evacuated,
       suspects,
@@ -180,7 +180,7 @@
       client,
       network,
       registry,
-      routeHolder: holder,
+      routeHolder,
       suspects,
       limits,
       freshness: view.freshness,
--- a/packages/gateway/src/unavailable-error.ts
+++ b/packages/gateway/src/unavailable-error.ts
@@ -12,7 +12,7 @@
   reason: string,
   retryAfterMs = UNAVAILABLE_RETRY_AFTER_MS,
 ): HollowstackError {
-  const ran = request.getRan();
+  const ran = request.getRunStatus();
   return new HollowstackError(
     ran === 'no' ? 'upstream-unavailable' : 'upstream-failed',
     reason,
--- a/packages/gateway/src/upstream-pool.ts
+++ b/packages/gateway/src/upstream-pool.ts
@@ -130,7 +130,7 @@
   }
 
   /** Returns why no upstream of a service can take work; undefined if one can. */
-  findShortage(service: string): Unavailability | undefined {
+  findUnavailability(service: string): Unavailability | undefined {
     const records = this.listRecords(service);
     return findUnavailability(service, records, id => this.getWaitMs(id));
   }
--- a/packages/gateway/src/upstream-registry.ts
+++ b/packages/gateway/src/upstream-registry.ts
@@ -311,11 +311,11 @@
   /** Applies changes that the watch reports. */
   applyEvents(events: readonly WatchEvent[]): void {
     this.recordUpdate('watch');
-    const readRevision = this.revision.getNewest();
+    const revisionBefore = this.revision.getNewest();
     for (const event of events) {
       // A watch that began before the last full read repeats older changes. Changes of
       // one transaction share a revision, so the bound is fixed before the loop.
-      if (event.modRevision <= readRevision) continue;
+      if (event.modRevision <= revisionBefore) continue;
       this.changes.recordChange(event);
       this.recordStoreEra(event.modRevision);
       this.revision.recordChange(event.modRevision);
