--- a/packages/gateway/src/attempt-runner.ts
+++ b/packages/gateway/src/attempt-runner.ts
@@ -41,18 +41,18 @@
 
 /** Number of unsent or misdirected attempts after which a request is rejected. */
 const MAX_UNSENT_ATTEMPTS = 8;
-/** Milliseconds without an event after which the engine of a stream counts as unresponsive. */
+/** Inactivity time-out of an engine that streams its answer, in milliseconds. */
 const STREAM_INACTIVITY_TIMEOUT_MS = 1500;
 /**
- * Lower bound of the inactivity time-out of a plain upstream, in milliseconds; several
- * times the usual processing time.
+ * Lower bound of the inactivity time-out of a plain upstream, which does not stream its
+ * answers, in milliseconds; several times the usual processing time.
  */
 const MIN_INACTIVITY_TIMEOUT_MS = 100;
-/** Multiple of the service's mean latency after which a plain answer is overdue. */
+/** The inactivity time-out of a plain upstream is at least this multiple of the mean latency. */
 const MEAN_LATENCY_FACTOR = 2.5;
 /**
- * Share of the route's objective after which an unresponsive plain upstream is abandoned;
- * the remaining time suffices for another attempt.
+ * The inactivity time-out of a plain upstream is at least this share of the route's
+ * objective; the rest of the objective suffices for another attempt.
  */
 const OBJECTIVE_SHARE = 0.6;
 
--- a/packages/gateway/src/attempt.ts
+++ b/packages/gateway/src/attempt.ts
@@ -58,13 +58,16 @@
 
 /** Outcome of one attempt. */
 export type AttemptOutcome =
-  /** The complete answer was sent to the caller. */
+  /**
+   * The complete answer was sent to the caller. `firstMs` is the time to the first event of a
+   * stream, or to the complete plain answer.
+   */
   | {readonly type: 'answered'; readonly firstMs: number}
   /** No byte of the request was sent. */
   | {
       readonly type: 'unsent';
       readonly reason: string;
-      /** Whether this instance withheld it, which says nothing about the upstream's health. */
+      /** Whether this instance withdrew it, which says nothing about the upstream's health. */
       readonly isWithdrawn: boolean;
       /** Whether the connection was refused, so that no process listens at the address. */
       readonly isRefused: boolean;
@@ -93,10 +96,7 @@
       readonly deliverFailure?: () => void;
     };
 
-/**
- * Milliseconds for establishing a connection; some hundred round trips within a
- * region.
- */
+/** Milliseconds for establishing a connection; about a hundred round trips within a region. */
 const CONNECT_TIMEOUT_MS = 400;
 /**
  * Maximum size in bytes of a plain answer, which is buffered until it is complete; larger
--- a/packages/gateway/src/cached-prompts-reader.ts
+++ b/packages/gateway/src/cached-prompts-reader.ts
@@ -20,7 +20,7 @@
   readonly mayAsk: (engineId: string) => boolean;
 }
 
-/** Milliseconds for establishing a connection to an engine; some hundred round trips. */
+/** Milliseconds for establishing a connection to an engine; about a hundred round trips. */
 const CONNECT_TIMEOUT_MS = 300;
 /** Milliseconds for the complete list; no request waits for it. */
 const ANSWER_TIMEOUT_MS = 1000;
--- a/packages/gateway/src/create-store-view.ts
+++ b/packages/gateway/src/create-store-view.ts
@@ -53,13 +53,14 @@
   readonly evacuated: EvacuatedDomains;
   /** Receives peers' reports of requests that crash upstreams. */
   readonly suspects: SuspectTable;
+  /** Receives peers' reports of rate limits. */
   readonly limits: LimitTable;
 }
 
 /**
  * Time after which a crashed instance is removed from the member list. Peers detect a
- * crash sooner by failed requests, so the lease only cleans up the list. Each renewal
- * has a cost: 0.02 calls per second and instance at a third of this time.
+ * crash sooner by failed requests, so the lease only cleans up the list. A renewal after
+ * each third of this time costs 0.2 calls per second and instance.
  */
 const MEMBER_LEASE_MS = 15_000;
 
--- a/packages/gateway/src/engine-assigner.ts
+++ b/packages/gateway/src/engine-assigner.ts
@@ -60,7 +60,7 @@
     return {id: upstreamId, failureDomain};
   }
 
-  /** Reports the progress of a request to the coordinator. */
+  /** Records the progress of a request in the local directory and reports it to the coordinator. */
   recordProgress(progress: AssignmentProgress): void {
     const {notifications, localDirectory, membership} = this.parts;
     localDirectory.recordProgress(progress);
--- a/packages/gateway/src/engine-protocol.ts
+++ b/packages/gateway/src/engine-protocol.ts
@@ -1,7 +1,7 @@
 import type {EncodedRequest} from '@hollowstack/stages';
 import type {PromptPart} from '@hollowstack/types';
 
-/** Queries the prompt caches of engines; an adapter defines names and formats. */
+/** Formats of the requests that list engines' prompt caches; an adapter defines them. */
 export abstract class EngineProtocol {
   /** Encodes the request that lists the prompt parts in an engine's cache. */
   abstract createCacheContentsRequest(address: string): EncodedRequest;
--- a/packages/gateway/src/gateway-settings.ts
+++ b/packages/gateway/src/gateway-settings.ts
@@ -14,7 +14,7 @@
 });
 
 /**
- * Switches of single mechanisms, so that the effect of each can be measured by disabling it.
+ * Switches for individual mechanisms; disabling one shows the effect that it has.
  * All are enabled by default.
  */
 export const policySettingsSchema = z.object({
@@ -29,7 +29,7 @@
   /** Records stage results in the store, so that a later coordinator can release them. */
   resultCheckpoints: z.boolean().default(true),
 });
-/** Switches of single mechanisms; all have defaults. */
+/** Switches for individual mechanisms; all have defaults. */
 export type PolicySettings = z.infer<typeof policySettingsSchema>;
 
 /**
@@ -39,7 +39,6 @@
 export const gatewaySettingsSchema = z.object({
   instance: z.object({
     id: z.string().min(1),
-    /** Failure domain. */
     failureDomain: z.string().min(1),
     /** Share of a CPU core that the instance may use. */
     cpuShare: z.number().positive().default(1),
@@ -53,7 +52,7 @@
     probeAddress: addressSchema,
     /** Address for peers. */
     peerAddress: addressSchema,
-    /** Address announced to peers if it differs from peerAddress (a mapped port). */
+    /** Address announced to peers if it differs from peerAddress (a mapped port, for example). */
     advertisedPeerAddress: addressSchema.optional(),
     /** Address for metrics and operator calls; without it, neither is served. */
     metricsAddress: addressSchema.optional(),
@@ -63,23 +62,27 @@
     /** Time-out of one store call in milliseconds; a slow store takes some 240 ms. */
     timeoutMs: z.number().positive().default(1000),
     /**
-     * Milliseconds in which a change of the upstreams must be in force here. Every delay in
-     * the propagation of a change counts towards it, see docs/platform-design.md.
+     * Milliseconds within which a change of the upstreams must be in force. The shortest of
+     * this and the two limits below applies to all changes. Every delay in the propagation
+     * of a change counts towards it, see docs/platform-design.md.
      */
     followWithinMs: z.number().positive().default(2000),
     /**
-     * Milliseconds in which a configuration must be in force; the shorter of both limits
-     * applies to both. The default is the 20 s that operators are promised.
+     * Milliseconds within which a configuration must be in force. The default is the 20 s
+     * that operators are promised.
      */
     configureWithinMs: z.number().positive().default(20_000),
     /**
-     * Milliseconds in which the evacuation of a failure domain must be in force; the
-     * shortest of the three limits applies to all. The default does not shorten any.
+     * Milliseconds within which the evacuation of a failure domain must be in force. The
+     * default shortens neither of the other limits.
      */
     evacuateWithinMs: z.number().positive().default(20_000),
   }),
   peers: z.object({
-    /** Peer addresses to contact while the store is unavailable. */
+    /**
+     * Peer addresses to contact if no peer is reachable, as at a start while the store is
+     * unavailable. Every few gossip rounds, one of them is contacted as well.
+     */
     seeds: z.array(addressSchema).default([]),
     keys: z.array(peerKeySchema).min(1),
   }),
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -27,7 +27,10 @@
   readonly headers: IncomingHttpHeaders;
 }
 
-/** Background work that starts once the gateway is ready and runs until it is stopped. */
+/**
+ * Background work of the coordinator. Each instance starts it once it is ready, since any of
+ * them may become the coordinator.
+ */
 export interface CoordinatorTask {
   start(): Promise<void>;
   stop(): void;
@@ -53,7 +56,6 @@
   readonly backOffs: BackOffTable;
   readonly granter: SendGranter;
   readonly coordinator: StageCoordinator;
-  /** Tasks that the coordinator runs for all instances; started once the gateway is ready. */
   readonly coordinatorTasks: readonly CoordinatorTask[];
   readonly server: GatewayServer;
   readonly operatorEndpoint: OperatorEndpoint;
@@ -64,7 +66,7 @@
 const START_POLL_MS = 20;
 /**
  * Milliseconds that a start waits for the coordinator search after routes and upstreams are
- * loaded; covers most of a request to a coordinator that started at the same time.
+ * loaded; most of the time-out of a ping, which a coordinator that has just started may need.
  */
 const COORDINATOR_SEARCH_TIMEOUT_MS = 300;
 /** Milliseconds until the load balancer stops sending; it needs two failed probes. */
@@ -156,8 +158,8 @@
     while (!isOver()) {
       await waitFor(clock, DRAIN_POLL_MS);
       if (clock.getNow() - startedAtMs < BALANCER_LAG_MS) continue;
-      // A load balancer with few other instances keeps sending; these requests would not be
-      // complete in time, so they are rejected.
+      // A load balancer that has few other instances keeps sending requests here. They would
+      // not be complete in time, so they are rejected.
       lifecycle.setState('closing');
       server.closeIdleConnections();
       const passedMs = clock.getNow() - startedAtMs;
--- a/packages/gateway/src/gossip-exchange.ts
+++ b/packages/gateway/src/gossip-exchange.ts
@@ -31,7 +31,7 @@
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly random: () => number;
-  /** Addresses to ask while no peer is known. */
+  /** Addresses to ask while no peer is reachable. */
   readonly seeds: readonly string[];
   /** Milliseconds within which a change must be in force on this instance. */
   readonly followWithinMs: number;
@@ -50,8 +50,8 @@
 const STANDBY_SHARE = 0.15;
 /**
  * Share of `followWithinMs` for which the store's watch may bring a change before a copy
- * is requested from a peer. At most two rounds, the wait for the standby and this delay
- * leave a tenth for the copy itself.
+ * is requested from a peer. At most two rounds, which include the wait for the standby, and
+ * this delay leave a tenth for the copy itself.
  */
 const COPY_DELAY_SHARE = 0.2;
 /**
@@ -130,7 +130,7 @@
     );
   }
 
-  /** Asks one peer, or the seeds while no peer is known; every few rounds a seed as well. */
+  /** Asks one peer, or all seeds if no peer is reachable; every few rounds a seed as well. */
   async runRound(): Promise<void> {
     const {addresses, standby} = this.peerSelector.chooseForRound();
     const requestedCopies = this.getDueCopies();
--- a/packages/gateway/src/gossip-peer-selector.ts
+++ b/packages/gateway/src/gossip-peer-selector.ts
@@ -4,7 +4,7 @@
 /** Dependencies of GossipPeerSelector. */
 export interface GossipPeerSelectorParts {
   readonly membership: Membership;
-  /** Addresses to ask while no peer is known. */
+  /** Addresses to ask while no peer is reachable. */
   readonly seeds: readonly string[];
   /** Returns numbers from 0 to below 1. */
   readonly random: () => number;
--- a/packages/gateway/src/operator-endpoint.ts
+++ b/packages/gateway/src/operator-endpoint.ts
@@ -41,7 +41,7 @@
     this.parts = parts;
   }
 
-  /** Answers a call; errors that a caller may see become an answer. */
+  /** Answers a call; a HollowstackError becomes an answer, any other error is thrown. */
   answerCall(call: OperatorCall): OperatorAnswer {
     try {
       this.checkKey(call);
--- a/packages/gateway/src/unavailable-error.ts
+++ b/packages/gateway/src/unavailable-error.ts
@@ -5,7 +5,8 @@
 /**
  * Creates the error of a request for which no upstream is available.
  *
- * @param retryAfterMs Milliseconds after which the caller may retry.
+ * @param retryAfterMs Milliseconds after which the caller may retry; left out of the error if
+ * the request may have run.
  */
 export function createUnavailableError(
   request: RoutedRequest,
--- a/packages/gateway/src/upstream-choice.ts
+++ b/packages/gateway/src/upstream-choice.ts
@@ -7,7 +7,7 @@
   readonly capacity: number;
   /** Number of this instance's own requests in flight to the upstream. */
   readonly ownInFlight: number;
-  /** Latency of the upstream relative to that of other upstreams. */
+  /** Latency of the upstream relative to the mean of its service; values close to 1 become 1. */
   readonly latencyRatio: number;
   /**
    * Whether this instance may send a request without the coordinator's assignment; false
--- a/packages/gateway/src/upstream-pool.ts
+++ b/packages/gateway/src/upstream-pool.ts
@@ -29,7 +29,10 @@
 
 /** Weight of the newest request in the moving mean of a service. */
 const MEAN_WEIGHT = 0.05;
-/** Upper bound of one slowness sample, so that one outlier does not exclude an upstream. */
+/**
+ * Upper bound of one sample of slowness, which is the latency of a request relative to the
+ * mean of its service; thus one outlier does not exclude an upstream.
+ */
 const MAX_SLOWNESS = 8;
 /** Weight of the newest request in the slowness of its upstream. */
 const SLOWNESS_WEIGHT = 0.15;
@@ -44,7 +47,7 @@
 /** Dependencies of UpstreamPool. */
 export interface UpstreamPoolParts {
   readonly getNow: () => number;
-  /** Draws from 0 to below 1. */
+  /** Returns numbers from 0 to below 1. */
   readonly random: () => number;
   /** Returns how many instances share the upstreams. */
   readonly getInstanceCount: () => number;
@@ -64,7 +67,7 @@
   coldPacer: SendPacer | undefined;
 }
 
-/** The upstreams of all services, with their health, load and latency as seen here. */
+/** The upstreams of all services, with their health, load and latency at this instance. */
 export class UpstreamPool {
   private readonly parts: UpstreamPoolParts;
   private warmUps = new Map<string, WarmUp>();
@@ -233,7 +236,7 @@
   /**
    * Records that an upstream served a request.
    *
-   * @param tookMs Milliseconds to the first bytes of the response.
+   * @param tookMs Milliseconds to the first event of a stream, or to a complete plain answer.
    */
   recordSuccess(id: string, tookMs: number): void {
     const upstream = this.upstreams.get(id);
@@ -249,7 +252,7 @@
     upstream.health = recordSuccess(upstream.health, nowMs);
   }
 
-  /** Returns the mean milliseconds to first bytes of a service; undefined before a success. */
+  /** Returns the mean `tookMs` of a service's successes; undefined before the first one. */
   getMeanMs(service: string): number | undefined {
     return this.meanMs.get(service);
   }
--- a/packages/gateway/src/upstream-registry.ts
+++ b/packages/gateway/src/upstream-registry.ts
@@ -56,8 +56,9 @@
  */
 const EXPIRY_GRACE_MS = 2200;
 /**
- * Time after which a withheld entry is accepted if the store still has it. Longer than
- * the time in which the entry of a stopped upstream expires.
+ * Time for which outdated entries are withheld after a restored store was detected, and
+ * time after which a withheld entry is accepted if the store still has it. Longer than the
+ * time in which the entry of a stopped upstream expires.
  */
 const WITHHOLD_MS = 5000;
 /**
@@ -85,7 +86,7 @@
   private graceTimer: Timer | undefined;
   private readonly removedEntries = new RemovedEntries();
   private withheldTimer: Timer | undefined;
-  /** When a revision of a later store era was last detected. */
+  /** When a later store era, which begins with a restored store, was last detected. */
   private restoredAtMs = -Infinity;
   private readonly missingListeners: Array<() => void> = [];
   private readonly leavingReportListeners: Array<() => void> = [];
@@ -233,8 +234,8 @@
   /**
    * Ends the grace period if entries are missing, because a peer that never lost the
    * store, or is past its own grace period, no longer has them. Otherwise an instance
-   * that was the only one cut off from the store would send work to a stopped upstream for
-   * longer than changes may take.
+   * that was the only one cut off from the store would send work to a stopped upstream after
+   * its removal must be in force.
    */
   endGraceOfMissing(source: string): void {
     if (this.missing.size === 0) return;
