--- a/packages/gateway/src/coordinator-search.ts
+++ b/packages/gateway/src/coordinator-search.ts
@@ -34,7 +34,7 @@
 const MAX_ASKED = 3;
 
 /**
- * Pings the peers that would be coordinator if they are alive. The member list may contain
+ * Pings the peers that would become coordinator if they are alive. The member list may contain
  * instances that have crashed, so no peer becomes coordinator before it has answered. After
  * the loss of all instances this makes the restarted ones agree on a coordinator.
  */
--- a/packages/gateway/src/evacuated-domains.ts
+++ b/packages/gateway/src/evacuated-domains.ts
@@ -26,8 +26,8 @@
 
 /**
  * The failure domains that operators have evacuated. Their upstreams get no new work, and
- * requests that run there are completed. The known state with the highest store revision is
- * in force, whether it came from the store or from a peer.
+ * requests already running there are completed. The known state with the highest store
+ * revision is in force, whether it came from the store or from a peer.
  */
 export class EvacuatedDomains {
   private readonly parts: EvacuatedDomainsParts;
@@ -72,7 +72,7 @@
     return this.failureDomains.has(failureDomain);
   }
 
-  /** Returns when this instance last saw an evacuation of the domain end, if it saw one. */
+  /** Returns when this instance last saw an evacuation of the domain end; undefined if never. */
   getEndedAtMs(failureDomain: string): number | undefined {
     return this.endedAtMs.get(failureDomain);
   }
--- a/packages/gateway/src/gateway-lifecycle.test.ts
+++ b/packages/gateway/src/gateway-lifecycle.test.ts
@@ -3,7 +3,7 @@
 import {ManualClock} from '@hollowstack/clock';
 import {GatewayLifecycle} from './gateway-lifecycle.ts';
 
-test('a request that arrives during the start waits for its end, up to a limit', async () => {
+test('a request that arrives during the start waits until the gateway is ready, up to a limit', async () => {
   const clock = new ManualClock();
   const lifecycle = new GatewayLifecycle();
   const ended: string[] = [];
--- a/packages/gateway/src/late-full-read.test.ts
+++ b/packages/gateway/src/late-full-read.test.ts
@@ -8,7 +8,7 @@
 import {OPERATOR_PREFIX, UPSTREAM_PREFIX} from './test-utils/view-store.ts';
 
 const FOLLOW_WITHIN_MS = 2000;
-/** Time after which an instance has its watch. */
+/** Time after which an instance has established its watch. */
 const START_MS = 3000;
 /** Longer than a restarted watch takes to begin, back-off included. */
 const READ_DELAY_MS = 700;
--- a/packages/gateway/src/leaving-ids.ts
+++ b/packages/gateway/src/leaving-ids.ts
@@ -14,7 +14,7 @@
     return this.ids.has(id);
   }
 
-  /** Returns whether an answer of the upstream reported it, to this instance or a peer. */
+  /** Returns whether an answer of the upstream reported, here or to a peer, that it leaves. */
   isSelfReported(id: string): boolean {
     return this.selfReportedAtMs.has(id);
   }
--- a/packages/gateway/src/limited-sends.ts
+++ b/packages/gateway/src/limited-sends.ts
@@ -15,9 +15,12 @@
   readonly pool: Pick<UpstreamPool, 'listCandidates'>;
 }
 
-/** Fraction of the time left to a request that it may wait for a grant. */
+/**
+ * Share of the remaining time that a request may wait for a grant: of the time to its
+ * objective or, once its stages are complete, to its deadline.
+ */
 const WAIT_SHARE = 0.25;
-/** Maximum wait of a request that no stages have run for. */
+/** Maximum wait of a request for which no stages have run. */
 const MAX_WAIT_MS = 500;
 /** Maximum wait of a request whose stages are complete. */
 const MAX_STAGED_WAIT_MS = 1000;
--- a/packages/gateway/src/request-runner.ts
+++ b/packages/gateway/src/request-runner.ts
@@ -177,7 +177,7 @@
   }
 
   // If much of the prompt is shared, the stages run in the failure domain of the engine that
-  // has it cached: the cache saves more than the stages' preferred domain.
+  // has it cached: the cache saves more than running the stages in their preferred domain.
   private async predictFailureDomain(
     request: RoutedRequest,
     promptParts: readonly PromptPart[],
--- a/packages/gateway/src/self-reported-leaving.test.ts
+++ b/packages/gateway/src/self-reported-leaving.test.ts
@@ -6,7 +6,7 @@
 
 /** Time within which a change must be in force. */
 const FOLLOW_WITHIN_MS = 2000;
-/** Time after which a fleet has its watches and streams. */
+/** Time after which a fleet has established its watches and streams. */
 const START_MS = 8000;
 const SEED_COUNT = 8;
 
@@ -30,7 +30,7 @@
 }
 
 for (const count of [2, 9, 40]) {
-  test(`an upstream's report of leaving to one of ${count} instances reaches all in time without the store`, async () => {
+  test(`a report that an upstream leaves, received by one of ${count} instances, reaches all of them in time without the store`, async () => {
     const late: string[] = [];
     for (let seed = 1; seed <= SEED_COUNT; seed++) {
       const clock = new ManualClock();
--- a/packages/gateway/src/store-follower.ts
+++ b/packages/gateway/src/store-follower.ts
@@ -8,7 +8,7 @@
   WatchSubscription,
 } from '@hollowstack/store';
 
-/** Initial delay before a failed read is retried; about ten answers of a healthy store. */
+/** Initial delay before a failed read is retried; ten response times of a healthy store. */
 const MIN_RETRY_MS = 300;
 /** Bounded because an instance must be up to date about 3 s after the end of an outage. */
 const MAX_RETRY_MS = 800;
--- a/packages/gateway/src/store-view.test.ts
+++ b/packages/gateway/src/store-view.test.ts
@@ -6,7 +6,7 @@
 
 /** Time within which a change must be in force. */
 const FOLLOW_WITHIN_MS = 2000;
-/** Time after which a fleet has its watches and streams. */
+/** Time after which a fleet has established its watches and streams. */
 const START_MS = 8000;
 /** Maximum time between a fault and the change. */
 const CHANGE_WITHIN_MS = 4000;
--- a/packages/gateway/src/stream-relay.ts
+++ b/packages/gateway/src/stream-relay.ts
@@ -41,8 +41,8 @@
     if (!head.complete || splitter.getRest().length > 0) {
       throw new TransportError('the stream broke off', 'some');
     }
-    // A framed answer to the caller must not be ended as complete by a stream whose end
-    // cannot be told from a truncation.
+    // The regular end of a framed answer tells the caller that it is complete, which the end
+    // of a close-delimited stream does not prove.
     const isFramed = outgoing.useChunkedEncodingByDefault;
     if (outgoing.headersSent && isFramed && isCloseDelimited(head)) {
       throw new TransportError('the stream ended without a proof', 'some');
--- a/packages/gateway/src/suspect-propagation.test.ts
+++ b/packages/gateway/src/suspect-propagation.test.ts
@@ -6,7 +6,7 @@
 
 /** Time after the third crash within which every instance must quarantine the request. */
 const MAX_PROPAGATION_MS = 3000;
-/** Time after which a fleet has its watches and streams. */
+/** Time after which a fleet has established its watches and streams. */
 const START_MS = 8000;
 const SEED_COUNT = 8;
 const POISON = {fingerprint: 'poison', service: 'plain', workspace: 'w1'};
--- a/packages/gateway/src/upstream-chooser.ts
+++ b/packages/gateway/src/upstream-chooser.ts
@@ -171,7 +171,7 @@
       return;
     }
     const isMisdirected = outcome.type === 'not-run' && outcome.isMisdirected;
-    // A withdrawn request was withheld by this instance and never reached the upstream.
+    // A withdrawn request was not sent by decision of this instance; the upstream is not at fault.
     const isUnreached = outcome.type === 'unsent' && !outcome.isWithdrawn;
     const countsAsFailure =
       isUnreached ||
