--- a/packages/gateway/src/evacuated-domains.ts
+++ b/packages/gateway/src/evacuated-domains.ts
@@ -26,8 +26,8 @@
 
 /**
  * The failure domains that operators have evacuated. Their upstreams get no new work, and
- * requests that run there are completed. The known state with the highest store revision is
- * in force, whether it came from the store or from a peer.
+ * requests already running there are completed. The known state with the highest store
+ * revision is in force, whether it came from the store or from a peer.
  */
 export class EvacuatedDomains {
   private readonly parts: EvacuatedDomainsParts;
@@ -72,7 +72,7 @@
     return this.failureDomains.has(failureDomain);
   }
 
-  /** Returns when this instance last saw an evacuation of the domain end, if it saw one. */
+  /** Returns when this instance last saw an evacuation of the domain end; undefined if never. */
   getEndedAtMs(failureDomain: string): number | undefined {
     return this.endedAtMs.get(failureDomain);
   }
@@ -108,10 +108,10 @@
   /** Applies changes of the operators' keys that the watch reports. */
   applyEvents(events: readonly WatchEvent[]): void {
     const failureDomains = new Set(this.failureDomains);
-    const before = this.revision.getNewest();
+    const revisionBefore = this.revision.getNewest();
     for (const {type, key, modRevision} of events) {
       // A watch that began before the last full read repeats older changes.
-      if (modRevision <= before) continue;
+      if (modRevision <= revisionBefore) continue;
       this.revision.recordChange(modRevision);
       for (const failureDomain of this.parseKey(key)) {
         const isEvacuated = type === 'put';
@@ -120,7 +120,7 @@
         this.changesSinceRead.set(failureDomain, {isEvacuated, modRevision});
       }
     }
-    if (this.revision.getNewest() === before) return;
+    if (this.revision.getNewest() === revisionBefore) return;
     this.applyDomains(failureDomains, 'watch');
   }
 
--- a/packages/gateway/src/request-runner.ts
+++ b/packages/gateway/src/request-runner.ts
@@ -122,7 +122,7 @@
   // No stage runs for a request that no upstream could take afterwards.
   private checkAvailability(request: RoutedRequest): void {
     const {pool} = this.parts;
-    const unavailability = pool.findShortage(request.facts.service);
+    const unavailability = pool.findUnavailability(request.facts.service);
     if (!unavailability || this.isOverBeforeStagesEnd(unavailability, request))
       return;
     throw new HollowstackError('upstream-unavailable', unavailability.reason, {
@@ -177,7 +177,7 @@
   }
 
   // If much of the prompt is shared, the stages run in the failure domain of the engine that
-  // has it cached: the cache saves more than the stages' preferred domain.
+  // has it cached: the cache saves more than running the stages in their preferred domain.
   private async predictFailureDomain(
     request: RoutedRequest,
     promptParts: readonly PromptPart[],
