--- a/scripts/proofs.ts
+++ b/scripts/proofs.ts
@@ -131,7 +131,7 @@
     file: 'packages/gateway/src/request-runner.ts',
     from: 'if (!isRepeatable(route) || outcome.isOwnEnd) return false;',
     to: '',
-    noticedBy: 'platform/src/whole-path.test.ts',
+    noticedBy: 'platform/src/end-to-end.test.ts',
   },
   {
     promise: 'a refusal promises that nothing has run',
@@ -139,7 +139,7 @@
     file: 'packages/gateway/src/attempt.ts',
     from: "request.recordRan('unknown');",
     to: '',
-    noticedBy: 'platform/src/whole-path.test.ts',
+    noticedBy: 'platform/src/end-to-end.test.ts',
   },
   {
     promise: 'every answer is the caller’s own',
@@ -147,7 +147,7 @@
     file: 'packages/gateway/src/attempt.ts',
     from: 'if (head.headers[names.requestId] !== request.facts.requestId) {',
     to: 'if (head.headers[names.requestId] === undefined) {',
-    noticedBy: 'platform/src/whole-path.test.ts',
+    noticedBy: 'platform/src/end-to-end.test.ts',
   },
   {
     promise: 'a success is the upstream’s own',
@@ -155,7 +155,7 @@
     file: 'packages/gateway/src/attempt.ts',
     from: 'if (isSuccess(head.statusCode ?? 0) && isUnsigned) {',
     to: 'if (isSuccess(head.statusCode ?? 0) && !head) {',
-    noticedBy: 'platform/src/whole-path.test.ts',
+    noticedBy: 'platform/src/end-to-end.test.ts',
   },
   {
     promise: 'a stream is whole or does not look complete',
@@ -171,7 +171,7 @@
     file: 'packages/gateway/src/upstream-registry.ts',
     from: 'const isLeaving = parsed.isLeaving || this.leftIds.has(parsed.id);',
     to: 'const isLeaving = parsed.isLeaving;',
-    noticedBy: 'platform/src/whole-path.test.ts',
+    noticedBy: 'platform/src/end-to-end.test.ts',
   },
   {
     promise: 'a leaving upstream gets no new work',
@@ -179,7 +179,7 @@
     file: 'packages/gateway/src/upstream-registry.ts',
     from: 'if (!listed.has(key) && !hasNewerChange(key))',
     to: '',
-    noticedBy: 'platform/src/whole-path.test.ts',
+    noticedBy: 'platform/src/end-to-end.test.ts',
   },
   {
     promise: 'a leaving upstream gets no new work',
@@ -235,7 +235,7 @@
     file: 'packages/gateway/src/route-holder.ts',
     from: 'if (this.current && revision <= inForce) {',
     to: 'if (this.current && revision < 0) {',
-    noticedBy: 'platform/src/whole-path.test.ts',
+    noticedBy: 'platform/src/end-to-end.test.ts',
   },
   {
     promise: 'nothing is decided for good by a stale view of the store',
@@ -283,7 +283,7 @@
     file: 'packages/gateway/src/gossip-exchange.ts',
     from: 'if (reply.configurationText !== undefined) {',
     to: 'if (reply.configurationText === null) {',
-    noticedBy: 'platform/src/whole-path.test.ts',
+    noticedBy: 'platform/src/end-to-end.test.ts',
   },
   {
     promise: 'nothing is worked on for a caller that has left',
@@ -291,7 +291,7 @@
     file: 'packages/gateway/src/attempt.ts',
     from: "request.signal.addEventListener('abort', cancelCall, {once: true});",
     to: '',
-    noticedBy: 'platform/src/whole-path.test.ts',
+    noticedBy: 'platform/src/end-to-end.test.ts',
   },
   {
     promise: 'the bound on retries is kept over all instances',
@@ -308,7 +308,7 @@
     file: 'packages/gateway/src/gateway.ts',
     from: 'while (!isOver()) {',
     to: 'while (!isOver) {',
-    noticedBy: 'platform/src/whole-path.test.ts',
+    noticedBy: 'platform/src/end-to-end.test.ts',
   },
   {
     promise: 'a request that crashes upstreams is kept from further ones',
