--- a/packages/local-system/src/free-addresses.ts
+++ b/packages/local-system/src/free-addresses.ts
@@ -2,17 +2,18 @@
 
 const HOST = '127.0.0.1';
 /**
- * Ports below those that the system gives to outgoing connections (from 32768 on),
- * so that none of these takes one while its process starts, or starts again.
+ * Start of a port range below the operating system's ephemeral ports (32768 and up), so that
+ * no outgoing connection occupies a port between its selection and a start or restart of the
+ * process that listens there.
  */
 const FIRST_PORT = 15_000;
 const PORT_COUNT = 15_000;
-/** Ports between the first ones of processes that were started one after the other. */
+/** Distance between the first ports tried by processes with consecutive process ids. */
 const PORTS_PER_PROCESS = 97;
 
 let nextOffset = (process.pid * PORTS_PER_PROCESS) % PORT_COUNT;
 
-/** Finds addresses on loopback that nobody listens at, each of them once. */
+/** Finds distinct loopback addresses that no process listens on. */
 export async function findFreeAddresses(count: number): Promise<string[]> {
   const addresses: string[] = [];
   while (addresses.length < count) {
--- a/packages/local-system/src/index.ts
+++ b/packages/local-system/src/index.ts
@@ -1,4 +1,4 @@
-/** A whole system in one process: stand-ins and daemons over loopback or an in-memory network. */
+/** A complete system in one process: stand-ins and daemons, connected over loopback or an in-memory network. */
 export {SystemNetwork, type ProcessEnvironment} from './system-network.ts';
 export {LoopbackNetwork} from './loopback-network.ts';
 export {MemoryNetwork, type MemoryNetworkOptions} from './memory-network.ts';
--- a/packages/local-system/src/local-system.test.ts
+++ b/packages/local-system/src/local-system.test.ts
@@ -18,12 +18,12 @@
   bookings: 1,
 };
 
-interface WholeAnswer {
+interface PipelineAnswer {
   readonly output: {readonly text: string};
   readonly stages: ReadonlyArray<{readonly stage: string}>;
 }
 
-test('a chat turn passes all four stages over loopback sockets', async t => {
+test('a chat request passes all four stages over loopback sockets', async t => {
   const system = new LocalSystem(new LoopbackNetwork(), {
     ...SIZE,
     random: createSeededRandom(1),
@@ -35,7 +35,7 @@
   const caller = system.createCaller(system.instances[1]);
   const whole = await caller.runPipeline('lima-centro', 'chat', 'O negative?');
   assert.equal(whole.status, 200, JSON.stringify(whole.body));
-  const body = whole.body as WholeAnswer;
+  const body = whole.body as PipelineAnswer;
   assert.equal(
     body.output.text,
     computeChatAnswer('assistant', 'O negative?', 24),
@@ -50,7 +50,7 @@
   assert.notEqual(streamed.end, undefined);
 });
 
-test('the same daemons run on a manual clock and an in-memory network', async () => {
+test('daemons serve a request on a manual clock and an in-memory network', async () => {
   const clock = new ManualClock();
   const network = new MemoryNetwork(clock, {getLatencyMs: () => 0.5});
   const system = new LocalSystem(network, {
@@ -66,7 +66,7 @@
     5000,
   );
   assert.equal(answer.status, 200, JSON.stringify(answer.body));
-  const body = answer.body as WholeAnswer;
+  const body = answer.body as PipelineAnswer;
   assert.equal(
     body.output.text,
     computeChatAnswer('assistant', 'O negative?', 24),
--- a/packages/local-system/src/local-system.ts
+++ b/packages/local-system/src/local-system.ts
@@ -24,7 +24,7 @@
 import {SystemCaller} from './system-caller.ts';
 import type {SystemNetwork} from './system-network.ts';
 
-/** How large a local system is and how it is set up. */
+/** Size and setup of a local system: the number of processes of each kind, and their options. */
 export interface LocalSystemOptions {
   readonly instances: number;
   readonly encoders: number;
@@ -34,7 +34,7 @@
   readonly bookings: number;
   readonly random: () => number;
   readonly logger?: EventLogger;
-  /** Changes the settings of each instance. */
+  /** Returns the settings to use for an instance, given the default ones. */
   readonly applyToSettings?: (settings: Settings) => Settings;
   readonly engineOptions?: Partial<EngineOptions>;
   readonly poolOptions?: Partial<
@@ -83,7 +83,7 @@
   loadMs: 500,
 };
 
-/** Starts, grows and stops a whole system in this process. */
+/** Runs a complete system in this process; instances can be added and removed while it runs. */
 export class LocalSystem {
   readonly network: SystemNetwork;
   readonly platform: PlatformStandIn;
@@ -104,7 +104,7 @@
     this.platform = new PlatformStandIn(clock);
   }
 
-  /** Starts the stand-ins and the daemons; nothing is published yet. */
+  /** Starts the stand-ins and the daemons without publishing a configuration. */
   async start(): Promise<void> {
     this.platformAddress = await this.network.reserveAddress();
     await this.network.serve('platform', this.platformAddress, request =>
@@ -116,7 +116,11 @@
     }
   }
 
-  /** Publishes a configuration through the first instance; the sample unless given. */
+  /**
+   * Publishes a configuration through the first instance; by default the sample configuration.
+   *
+   * @throws Error if the instance does not accept it.
+   */
   async publish(objects?: readonly ConfigObject[]): Promise<void> {
     const caller = this.createCaller(this.instances[0]);
     const answer = await caller.callOperator('POST', 'configuration', {
@@ -125,7 +129,9 @@
       objects: objects ?? createSampleConfiguration(this.listUpstreams()),
     });
     if (answer.status !== 200) {
-      throw new Error(`not published: ${JSON.stringify(answer.body)}`);
+      throw new Error(
+        `configuration was not published: ${JSON.stringify(answer.body)}`,
+      );
     }
   }
 
@@ -134,7 +140,7 @@
     await Promise.all(this.instances.map(({started}) => started));
   }
 
-  /** Starts one more instance. */
+  /** Starts an additional instance; it may not be ready when this resolves. */
   async startInstance(id?: string): Promise<LocalInstance> {
     const settings = await this.createSettings(id);
     const instanceId = settings.instance.id;
@@ -162,13 +168,13 @@
     return instance;
   }
 
-  /** Takes an instance that was stopped or killed off the list. */
+  /** Removes a stopped or killed instance from the list of instances. */
   removeInstance(instance: LocalInstance): void {
     const index = this.instances.indexOf(instance);
     if (index >= 0) this.instances.splice(index, 1);
   }
 
-  /** Creates a caller that talks to one instance. */
+  /** Creates a caller that sends all its requests to one instance. */
   createCaller(instance: LocalInstance): SystemCaller {
     const {client} = this.network.createEnvironment('callers');
     return new SystemCaller(client, instance.address);
@@ -194,7 +200,7 @@
     ].map(({standIn}) => standIn);
   }
 
-  /** Stops everything at once. */
+  /** Stops the daemons, the platform and the network without draining. */
   async stop(): Promise<void> {
     for (const {daemon} of this.instances) void daemon.stop();
     this.platform.stop();
--- a/packages/local-system/src/loopback-network.ts
+++ b/packages/local-system/src/loopback-network.ts
@@ -10,7 +10,7 @@
 
 const HOST = '127.0.0.1';
 
-/** Real sockets on the loopback interface and the system's clock. */
+/** Connects processes by real sockets on the loopback interface, on the system clock. */
 export class LoopbackNetwork extends SystemNetwork {
   private readonly clock = new SystemClock();
   private readonly servers = new Map<string, NodeHttpServer>();
--- a/packages/local-system/src/memory-http-client.ts
+++ b/packages/local-system/src/memory-http-client.ts
@@ -8,49 +8,55 @@
 import type {MemoryNetwork, ServedHandler} from './memory-network.ts';
 import type {SimulatedProcess} from './simulated-process.ts';
 
-/** Sends requests through the in-memory network. */
+/** Sends HTTP requests through the in-memory network on behalf of one process. */
 export class MemoryHttpClient extends HttpClient {
   private readonly network: MemoryNetwork;
   private readonly name: string;
-  private readonly gate: SimulatedProcess;
+  private readonly simulatedProcess: SimulatedProcess;
 
-  constructor(network: MemoryNetwork, name: string, gate: SimulatedProcess) {
+  constructor(
+    network: MemoryNetwork,
+    name: string,
+    simulatedProcess: SimulatedProcess,
+  ) {
     super();
     this.network = network;
     this.name = name;
-    this.gate = gate;
+    this.simulatedProcess = simulatedProcess;
   }
 
   async send(address: string, request: HttpRequest): Promise<HttpResponse> {
     if (request.signal.aborted) {
       throw new TransportError('given up before sending', 'none');
     }
-    await this.gate.waitUntilRunning();
+    await this.simulatedProcess.waitUntilRunning();
     const served = this.network.findHandler(address);
     if (!served || !this.isReachable(served)) {
       await this.network.waitLatency(this.name, served?.name ?? '');
-      await this.gate.waitUntilRunning();
+      await this.simulatedProcess.waitUntilRunning();
       throw new TransportError(`${address} refuses connections`, 'none');
     }
-    return new Exchange(this.network, this.name, this.gate, served).run(
-      address,
-      request,
-    );
+    return new Exchange(
+      this.network,
+      this.name,
+      this.simulatedProcess,
+      served,
+    ).run(address, request);
   }
 
   private isReachable(served: ServedHandler): boolean {
     return (
       !served.simulatedProcess.isDead() &&
-      !this.network.isCut(this.name, served.name)
+      !this.network.isPartitioned(this.name, served.name)
     );
   }
 }
 
-/** One request and its answer; either side may go while it lasts. */
+/** One HTTP exchange; either process may be killed or partitioned off while it is in progress. */
 class Exchange {
   private readonly network: MemoryNetwork;
   private readonly name: string;
-  private readonly gate: SimulatedProcess;
+  private readonly simulatedProcess: SimulatedProcess;
   private readonly served: ServedHandler;
   private readonly serverController = new AbortController();
   private readonly cleanups: Array<() => void> = [];
@@ -58,41 +64,43 @@
   constructor(
     network: MemoryNetwork,
     name: string,
-    gate: SimulatedProcess,
+    simulatedProcess: SimulatedProcess,
     served: ServedHandler,
   ) {
     this.network = network;
     this.name = name;
-    this.gate = gate;
+    this.simulatedProcess = simulatedProcess;
     this.served = served;
   }
 
   run(address: string, request: HttpRequest): Promise<HttpResponse> {
     return new Promise((resolve, reject) => {
-      const breakOff = (message: string) =>
-        this.gate.deliver(() => reject(new TransportError(message, 'some')));
-      this.followEnds(request, breakOff);
-      this.exchange(address, request, breakOff).then(
-        response => this.gate.deliver(() => resolve(response)),
-        error => breakOff(String(error)),
+      const failRequest = (message: string) =>
+        this.simulatedProcess.deliver(() =>
+          reject(new TransportError(message, 'some')),
+        );
+      this.watchForAbort(request, failRequest);
+      this.exchange(address, request, failRequest).then(
+        response => this.simulatedProcess.deliver(() => resolve(response)),
+        error => failRequest(String(error)),
       );
     });
   }
 
-  private followEnds(
+  private watchForAbort(
     request: HttpRequest,
-    breakOff: (message: string) => void,
+    failRequest: (message: string) => void,
   ): void {
     const cancelAttempt = () => {
-      breakOff('given up');
+      failRequest('given up');
       void this.cancelAtServer();
     };
     request.signal.addEventListener('abort', cancelAttempt, {once: true});
     this.cleanups.push(
       () => request.signal.removeEventListener('abort', cancelAttempt),
-      this.gate.addDeathListener(() => void this.cancelAtServer()),
+      this.simulatedProcess.addDeathListener(() => void this.cancelAtServer()),
       this.served.simulatedProcess.addDeathListener(() =>
-        breakOff('connection reset'),
+        failRequest('connection reset'),
       ),
     );
   }
@@ -100,7 +108,7 @@
   private async exchange(
     address: string,
     request: HttpRequest,
-    breakOff: (message: string) => void,
+    failRequest: (message: string) => void,
   ): Promise<HttpResponse> {
     await this.network.waitLatency(this.name, this.served.name);
     await this.served.simulatedProcess.waitUntilRunning();
@@ -110,8 +118,8 @@
     });
     await this.network.waitLatency(this.served.name, this.name);
     await this.served.simulatedProcess.waitUntilRunning();
-    if (this.network.takeLostReply(address) || this.isCutOff()) {
-      breakOff('connection reset');
+    if (this.network.takeLostReply(address) || this.isPartitioned()) {
+      failRequest('connection reset');
       void this.cancelAtServer();
       return new Promise(() => {});
     }
@@ -124,11 +132,13 @@
   ): AsyncIterable<Uint8Array> {
     const queue = new AsyncQueue<Uint8Array>(() => void this.cancelAtServer());
     const fail = (message: string) =>
-      this.gate.deliver(() => queue.fail(new TransportError(message, 'some')));
-    const failGivenUp = () => fail('given up');
-    request.signal.addEventListener('abort', failGivenUp, {once: true});
+      this.simulatedProcess.deliver(() =>
+        queue.fail(new TransportError(message, 'some')),
+      );
+    const failAborted = () => fail('given up');
+    request.signal.addEventListener('abort', failAborted, {once: true});
     this.cleanups.push(
-      () => request.signal.removeEventListener('abort', failGivenUp),
+      () => request.signal.removeEventListener('abort', failAborted),
       this.served.simulatedProcess.addDeathListener(() =>
         fail('connection reset'),
       ),
@@ -145,15 +155,15 @@
     try {
       for await (const chunk of body) {
         await this.served.simulatedProcess.waitUntilRunning();
-        if (this.isCutOff()) {
+        if (this.isPartitioned()) {
           fail('connection reset');
           void this.cancelAtServer();
           return;
         }
         await this.network.waitLatency(this.served.name, this.name);
-        this.gate.deliver(() => queue.push(chunk));
+        this.simulatedProcess.deliver(() => queue.push(chunk));
       }
-      this.gate.deliver(() => queue.end());
+      this.simulatedProcess.deliver(() => queue.end());
     } catch (error) {
       fail(String(error));
     } finally {
@@ -161,8 +171,8 @@
     }
   }
 
-  private isCutOff(): boolean {
-    return this.network.isCut(this.name, this.served.name);
+  private isPartitioned(): boolean {
+    return this.network.isPartitioned(this.name, this.served.name);
   }
 
   private async cancelAtServer(): Promise<void> {
--- a/packages/local-system/src/memory-network.ts
+++ b/packages/local-system/src/memory-network.ts
@@ -6,27 +6,27 @@
 import {SimulatedProcess} from './simulated-process.ts';
 import {SystemNetwork, type ProcessEnvironment} from './system-network.ts';
 
-/** Delays of the in-memory network. */
+/** Latency of the in-memory network. */
 export interface MemoryNetworkOptions {
-  /** Milliseconds one way between two processes; may differ from message to message. */
+  /** Returns the one-way latency in milliseconds; called once for each message. */
   readonly getLatencyMs: (from: string, to: string) => number;
 }
 
-/** What is served at an address. */
+/** The HTTP handler that serves an address, and the process that it runs in. */
 export interface ServedHandler {
   readonly name: string;
   readonly simulatedProcess: SimulatedProcess;
   readonly handler: HttpHandler;
 }
 
-/** Connects processes in memory over any clock; a test pauses, kills and cuts them off. */
+/** Connects processes in memory, on any clock; tests can pause, kill and partition them. */
 export class MemoryNetwork extends SystemNetwork {
   private readonly clock: Clock;
   private readonly options: MemoryNetworkOptions;
-  private readonly gates = new Map<string, SimulatedProcess>();
+  private readonly processes = new Map<string, SimulatedProcess>();
   private readonly handlers = new Map<string, ServedHandler>();
   private readonly listeners = new Map<string, PeerListener>();
-  private readonly cuts = new Set<string>();
+  private readonly partitions = new Set<string>();
   private readonly lostReplies = new Map<string, number>();
   private peerBytes = 0;
   private peerMessages = 0;
@@ -39,11 +39,11 @@
   }
 
   createEnvironment(name: string): ProcessEnvironment {
-    const gate = this.getProcess(name);
+    const simulatedProcess = this.getProcess(name);
     return {
-      clock: new PausableClock(this.clock, gate),
-      client: new MemoryHttpClient(this, name, gate),
-      peerNetwork: new MemoryPeerNetwork(this, name, gate),
+      clock: new PausableClock(this.clock, simulatedProcess),
+      client: new MemoryHttpClient(this, name, simulatedProcess),
+      peerNetwork: new MemoryPeerNetwork(this, name, simulatedProcess),
     };
   }
 
@@ -68,41 +68,42 @@
   }
 
   async close(): Promise<void> {
-    for (const gate of this.gates.values()) gate.kill();
+    for (const simulatedProcess of this.processes.values())
+      simulatedProcess.kill();
   }
 
-  /** Returns the switch that pauses and kills a process. */
+  /** Returns the process of a name; creates a new one if there is none or if it was killed. */
   getProcess(name: string): SimulatedProcess {
-    let gate = this.gates.get(name);
-    if (!gate || gate.isDead()) {
-      gate = new SimulatedProcess();
-      this.gates.set(name, gate);
+    let simulatedProcess = this.processes.get(name);
+    if (!simulatedProcess || simulatedProcess.isDead()) {
+      simulatedProcess = new SimulatedProcess();
+      this.processes.set(name, simulatedProcess);
     }
-    return gate;
+    return simulatedProcess;
   }
 
-  /** Cuts two processes off from each other, or joins them again. */
+  /** Partitions two processes from each other, or heals the partition. */
   setPartitioned(left: string, right: string, isPartitioned: boolean): void {
     const key = createPairKey(left, right);
-    if (isPartitioned) this.cuts.add(key);
-    else this.cuts.delete(key);
+    if (isPartitioned) this.partitions.add(key);
+    else this.partitions.delete(key);
   }
 
-  /** Joins all processes again. */
+  /** Heals all partitions. */
   removePartitions(): void {
-    this.cuts.clear();
+    this.partitions.clear();
   }
 
-  isCut(left: string, right: string): boolean {
-    return this.cuts.has(createPairKey(left, right));
+  isPartitioned(left: string, right: string): boolean {
+    return this.partitions.has(createPairKey(left, right));
   }
 
-  /** Loses the next replies of an address after the request took effect. */
+  /** Drops the next replies from an address; their requests take effect. */
   setLostReplies(address: string, count: number): void {
     this.lostReplies.set(address, count);
   }
 
-  /** Returns whether the reply at hand is to be lost. */
+  /** Returns whether to drop the current reply from an address, and counts it as dropped. */
   takeLostReply(address: string): boolean {
     const left = this.lostReplies.get(address) ?? 0;
     if (left === 0) return false;
@@ -110,13 +111,13 @@
     return true;
   }
 
-  /** Counts one message between peers. */
+  /** Counts one message between peers in the traffic totals. */
   recordPeerMessage(bytes: number): void {
     this.peerBytes += bytes;
     this.peerMessages += 1;
   }
 
-  /** Returns what went between peers so far, each message once. */
+  /** Returns the totals of peer traffic sent so far, in one direction per message. */
   getPeerTraffic(): {readonly bytes: number; readonly messages: number} {
     return {bytes: this.peerBytes, messages: this.peerMessages};
   }
@@ -134,7 +135,7 @@
     else this.listeners.delete(address);
   }
 
-  /** Waits for one message's way. */
+  /** Waits for the latency of one message. */
   waitLatency(from: string, to: string): Promise<void> {
     const latencyMs = this.options.getLatencyMs(from, to);
     if (latencyMs <= 0) return Promise.resolve();
--- a/packages/local-system/src/memory-peer-network.ts
+++ b/packages/local-system/src/memory-peer-network.ts
@@ -2,25 +2,29 @@
 import type {MemoryNetwork} from './memory-network.ts';
 import type {SimulatedProcess} from './simulated-process.ts';
 
-/** Who takes peer streams at an address. */
+/** Accepts peer streams at an address. */
 export interface PeerListener {
   readonly name: string;
   readonly simulatedProcess: SimulatedProcess;
   readonly handleSocket: (socket: PeerSocket) => void;
 }
 
-/** Peer streams through the in-memory network. */
+/** Opens and accepts peer streams through the in-memory network on behalf of one process. */
 export class MemoryPeerNetwork extends PeerNetwork {
   private readonly network: MemoryNetwork;
   private readonly name: string;
-  private readonly gate: SimulatedProcess;
+  private readonly simulatedProcess: SimulatedProcess;
   private address: string | undefined;
 
-  constructor(network: MemoryNetwork, name: string, gate: SimulatedProcess) {
+  constructor(
+    network: MemoryNetwork,
+    name: string,
+    simulatedProcess: SimulatedProcess,
+  ) {
     super();
     this.network = network;
     this.name = name;
-    this.gate = gate;
+    this.simulatedProcess = simulatedProcess;
   }
 
   async listen(
@@ -28,26 +32,30 @@
     handleSocket: (socket: PeerSocket) => void,
   ): Promise<string> {
     this.address = address;
-    const {name, gate} = this;
+    const {name, simulatedProcess} = this;
     this.network.setListener(address, {
       name,
-      simulatedProcess: gate,
+      simulatedProcess,
       handleSocket,
     });
     return address;
   }
 
   async connect(address: string): Promise<PeerSocket> {
-    await this.gate.waitUntilRunning();
+    await this.simulatedProcess.waitUntilRunning();
     const listener = this.network.findListener(address);
     await this.network.waitLatency(this.name, listener?.name ?? '');
-    await this.gate.waitUntilRunning();
+    await this.simulatedProcess.waitUntilRunning();
     const isReachable =
       listener &&
       !listener.simulatedProcess.isDead() &&
-      !this.network.isCut(this.name, listener.name);
+      !this.network.isPartitioned(this.name, listener.name);
     if (!isReachable) throw new Error(`${address} refuses connections`);
-    const near = new MemoryPeerSocket(this.network, this.name, this.gate);
+    const near = new MemoryPeerSocket(
+      this.network,
+      this.name,
+      this.simulatedProcess,
+    );
     const far = new MemoryPeerSocket(
       this.network,
       listener.name,
@@ -67,37 +75,41 @@
 class MemoryPeerSocket implements PeerSocket {
   private readonly network: MemoryNetwork;
   private readonly name: string;
-  private readonly gate: SimulatedProcess;
-  private other: MemoryPeerSocket | undefined;
+  private readonly simulatedProcess: SimulatedProcess;
+  private remote: MemoryPeerSocket | undefined;
   private handleData: (bytes: Uint8Array) => void = () => {};
   private handleClose: () => void = () => {};
   private isClosed = false;
-  // Bytes of one stream keep their order whatever the latencies are.
+  // Chains deliveries, so that bytes arrive in order although latencies differ.
   private lastDelivery: Promise<void> = Promise.resolve();
 
-  constructor(network: MemoryNetwork, name: string, gate: SimulatedProcess) {
+  constructor(
+    network: MemoryNetwork,
+    name: string,
+    simulatedProcess: SimulatedProcess,
+  ) {
     this.network = network;
     this.name = name;
-    this.gate = gate;
-    gate.addDeathListener(() => this.close());
+    this.simulatedProcess = simulatedProcess;
+    simulatedProcess.addDeathListener(() => this.close());
   }
 
   join(other: MemoryPeerSocket): void {
-    this.other = other;
+    this.remote = other;
   }
 
   send(bytes: Uint8Array): void {
-    if (this.isClosed || !this.other) return;
-    const {other} = this;
-    if (this.network.isCut(this.name, other.name)) {
+    if (this.isClosed || !this.remote) return;
+    const {remote} = this;
+    if (this.network.isPartitioned(this.name, remote.name)) {
       this.close();
       return;
     }
     this.network.recordPeerMessage(bytes.length);
-    const way = this.network.waitLatency(this.name, other.name);
+    const latency = this.network.waitLatency(this.name, remote.name);
     this.lastDelivery = this.lastDelivery.then(async () => {
-      await way;
-      other.handleBytes(bytes);
+      await latency;
+      remote.handleBytes(bytes);
     });
   }
 
@@ -112,16 +124,16 @@
   close(): void {
     if (this.isClosed) return;
     this.isClosed = true;
-    this.gate.deliver(() => this.handleClose());
-    const {other} = this;
+    this.simulatedProcess.deliver(() => this.handleClose());
+    const {remote} = this;
     void this.network
-      .waitLatency(this.name, other?.name ?? '')
-      .then(() => other?.close());
+      .waitLatency(this.name, remote?.name ?? '')
+      .then(() => remote?.close());
   }
 
   private handleBytes(bytes: Uint8Array): void {
     if (this.isClosed) return;
-    this.gate.deliver(() => {
+    this.simulatedProcess.deliver(() => {
       if (!this.isClosed) this.handleData(bytes);
     });
   }
--- a/packages/local-system/src/pausable-clock.ts
+++ b/packages/local-system/src/pausable-clock.ts
@@ -1,14 +1,14 @@
 import type {Clock, Timer} from '@hollowstack/clock';
 import type {SimulatedProcess} from './simulated-process.ts';
 
-/** A process's view of the clock: its callbacks wait while it is paused. */
+/** The clock of one process: callbacks that are due while it is paused run when it resumes. */
 export class PausableClock implements Clock {
   private readonly clock: Clock;
-  private readonly gate: SimulatedProcess;
+  private readonly simulatedProcess: SimulatedProcess;
 
-  constructor(clock: Clock, gate: SimulatedProcess) {
+  constructor(clock: Clock, simulatedProcess: SimulatedProcess) {
     this.clock = clock;
-    this.gate = gate;
+    this.simulatedProcess = simulatedProcess;
   }
 
   getNow(): number {
@@ -18,7 +18,7 @@
   schedule(delayMs: number, callback: () => void): Timer {
     let isCancelled = false;
     const timer = this.clock.schedule(delayMs, () =>
-      this.gate.deliver(() => {
+      this.simulatedProcess.deliver(() => {
         if (!isCancelled) callback();
       }),
     );
--- a/packages/local-system/src/sample-configuration.ts
+++ b/packages/local-system/src/sample-configuration.ts
@@ -5,10 +5,10 @@
   type Upstream,
 } from '@hollowstack/types';
 
-/** The operator key that local systems are set up with. */
+/** The operator key in the settings of local systems. */
 export const OPERATOR_KEY = 'operator-key-for-local-use';
 
-/** The upstreams of a local system by what they serve. */
+/** The upstreams of a local system, by the stage or service that they serve. */
 export interface SampleUpstreams {
   readonly encode: readonly Upstream[];
   readonly retrieve: readonly Upstream[];
@@ -17,7 +17,7 @@
   readonly booking: readonly Upstream[];
 }
 
-/** What the stand-ins of a local system take for one request, in milliseconds. */
+/** Expected milliseconds of one request at the stand-ins of a local system. */
 const EXPECTED_MS: Readonly<Record<StageKind, number>> = {
   encode: 8,
   retrieve: 5,
@@ -32,7 +32,7 @@
   generate: 16,
 };
 
-/** Creates a configuration with a workspace of each kind of user. */
+/** Creates a configuration with pools, templates, a service, and a workspace for each objective. */
 export function createSampleConfiguration(
   upstreams: SampleUpstreams,
 ): ConfigObject[] {
--- a/packages/local-system/src/seeded-random.ts
+++ b/packages/local-system/src/seeded-random.ts
@@ -1,4 +1,4 @@
-/** Creates a generator of numbers from 0 to below 1 that a seed decides (mulberry32). */
+/** Creates a seeded pseudo-random generator (mulberry32) of numbers from 0 to below 1. */
 export function createSeededRandom(seed: number): () => number {
   let state = seed >>> 0;
   return () => {
--- a/packages/local-system/src/simulated-process.ts
+++ b/packages/local-system/src/simulated-process.ts
@@ -1,7 +1,7 @@
-/** Whether a process of the in-memory network runs, stands still or is gone. */
+/** A process of the in-memory network, which can be paused, resumed and killed. */
 export class SimulatedProcess {
   private state: 'running' | 'paused' | 'dead' = 'running';
-  private waiting: Array<() => void> = [];
+  private pendingDeliveries: Array<() => void> = [];
   private deathListeners: Array<() => void> = [];
 
   isRunning(): boolean {
@@ -12,37 +12,37 @@
     return this.state === 'dead';
   }
 
-  /** Stops the process as SIGSTOP would. */
+  /** Pauses the process, as SIGSTOP would. */
   pause(): void {
     if (this.state === 'running') this.state = 'paused';
   }
 
-  /** Lets it go on as SIGCONT would; what came meanwhile is delivered. */
+  /** Resumes the process, as SIGCONT would, and runs the deliveries queued during the pause. */
   resume(): void {
     if (this.state !== 'paused') return;
     this.state = 'running';
-    for (const deliver of this.waiting.splice(0)) deliver();
+    for (const deliver of this.pendingDeliveries.splice(0)) deliver();
   }
 
-  /** Ends the process as SIGKILL would. */
+  /** Kills the process, as SIGKILL would; queued deliveries are dropped. */
   kill(): void {
     this.state = 'dead';
-    this.waiting = [];
+    this.pendingDeliveries = [];
     for (const listener of this.deathListeners.splice(0)) listener();
   }
 
-  /** Runs a delivery now, after the pause, or never. */
+  /** Runs a delivery at once, after the pause if paused, or never if killed. */
   deliver(delivery: () => void): void {
     if (this.state === 'running') delivery();
-    else if (this.state === 'paused') this.waiting.push(delivery);
+    else if (this.state === 'paused') this.pendingDeliveries.push(delivery);
   }
 
-  /** Resolves once the process runs; never where it is gone. */
+  /** Resolves once the process runs; never resolves if it is killed. */
   waitUntilRunning(): Promise<void> {
     return new Promise(resolve => this.deliver(resolve));
   }
 
-  /** Adds a function that is called when the process is killed; returns its removal. */
+  /** Adds a function to call when the process is killed; returns a function that removes it. */
   addDeathListener(listener: () => void): () => void {
     this.deathListeners.push(listener);
     return () => {
--- a/packages/local-system/src/system-caller.ts
+++ b/packages/local-system/src/system-caller.ts
@@ -7,17 +7,17 @@
 } from '@hollowstack/transport';
 import {OPERATOR_KEY} from './sample-configuration.ts';
 
-/** An answer as a caller sees it. */
+/** An HTTP answer, parsed for the caller. */
 export interface CallerAnswer {
   readonly status: number;
   readonly headers: HttpHeaders;
-  /** The parsed body. */
+  /** The parsed JSON body; undefined if the body is empty. */
   readonly body: unknown;
-  /** The problem, where the answer is one. */
+  /** The problem details (`application/problem+json`), if the answer has them. */
   readonly problem: Problem | undefined;
 }
 
-/** Sends callers' and operators' requests to an instance. */
+/** Sends requests of callers and operators to one instance. */
 export class SystemCaller {
   private readonly client: HttpClient;
   private readonly address: string;
@@ -27,7 +27,7 @@
     this.address = address;
   }
 
-  /** Sends a request and reads its JSON answer. */
+  /** Sends a request and parses its JSON answer. */
   async send(
     method: string,
     path: string,
@@ -54,7 +54,7 @@
     };
   }
 
-  /** Reads a path whose answer is plain text. */
+  /** Sends a GET request and returns the answer's body as text. */
   async readText(path: string): Promise<string> {
     const response = await this.client.send(this.address, {
       method: 'GET',
@@ -66,7 +66,7 @@
     return (await readBody(response.body)).toString('utf8');
   }
 
-  /** Runs a pipeline and waits for its whole answer. */
+  /** Runs a pipeline without streaming and waits for its answer. */
   runPipeline(
     workspace: string,
     pipeline: string,
@@ -78,7 +78,11 @@
     return this.send('POST', path, {input}, headers, signal);
   }
 
-  /** Runs a pipeline and reads its stream; without the end marker it throws. */
+  /**
+   * Runs a pipeline and reads its stream to the end.
+   *
+   * @throws Error if the connection breaks before the stream ends.
+   */
   async runStreamedPipeline(
     workspace: string,
     pipeline: string,
@@ -98,7 +102,7 @@
     return readStream(response.body);
   }
 
-  /** Sends an operator's call. */
+  /** Sends an operator request with the local operator key. */
   callOperator(
     method: string,
     call: string,
@@ -113,7 +117,7 @@
 /** A streamed answer, read to its end. */
 export interface StreamedAnswer {
   readonly text: string;
-  /** Data of the end marker; undefined where the stream broke off. */
+  /** Data of the end event; undefined if the stream ended with a problem or without any event. */
   readonly end: unknown;
   readonly problem: Problem | undefined;
 }
@@ -122,19 +126,20 @@
   body: AsyncIterable<Uint8Array>,
 ): Promise<StreamedAnswer> {
   let text = '';
-  let last: unknown;
+  let lastEvent: unknown;
   for await (const batch of readServerSentEvents(body)) {
     for (const data of batch) {
       const parsed: unknown = JSON.parse(data);
       if (hasText(parsed)) text += parsed.text;
-      else last = parsed;
+      else lastEvent = parsed;
     }
   }
-  const isProblem = typeof last === 'object' && last !== null && 'kind' in last;
+  const isProblem =
+    typeof lastEvent === 'object' && lastEvent !== null && 'kind' in lastEvent;
   return {
     text,
-    end: isProblem ? undefined : last,
-    problem: isProblem ? (last as Problem) : undefined,
+    end: isProblem ? undefined : lastEvent,
+    problem: isProblem ? (lastEvent as Problem) : undefined,
   };
 }
 
--- a/packages/local-system/src/system-network.ts
+++ b/packages/local-system/src/system-network.ts
@@ -2,7 +2,7 @@
 import type {PeerNetwork} from '@hollowstack/peers';
 import type {HttpClient, HttpHandler} from '@hollowstack/transport';
 
-/** What a process of the system has of the world. */
+/** The clock and network access of one process. */
 export interface ProcessEnvironment {
   readonly clock: Clock;
   readonly client: HttpClient;
@@ -11,22 +11,22 @@
 
 /** Connects the processes of a local system. */
 export abstract class SystemNetwork {
-  /** Creates what one process, known by its name, sees of the network. */
+  /** Creates the clock and network access of the process with the given name. */
   abstract createEnvironment(name: string): ProcessEnvironment;
 
-  /** Chooses an address for a process; nothing listens there yet. */
+  /** Chooses a free address for a process without listening on it. */
   abstract reserveAddress(): Promise<string>;
 
-  /** Serves a handler at an address on behalf of a process. */
+  /** Serves requests at an address by a handler that runs in the named process. */
   abstract serve(
     name: string,
     address: string,
     handler: HttpHandler,
   ): Promise<void>;
 
-  /** Stops serving at an address; requests in progress are not cut. */
+  /** Stops serving at an address; requests in progress are completed. */
   abstract stopServing(address: string): Promise<void>;
 
-  /** Ends everything. */
+  /** Closes all clients and servers, interrupting requests in progress. */
   abstract close(): Promise<void>;
 }
