--- a/packages/fuzz/src/placement-holder.test.ts
+++ b/packages/fuzz/src/placement-holder.test.ts
@@ -66,7 +66,7 @@
 
 function countHolders({system}: PlacedSystem): number {
   return system.engines.filter(({standIn}) =>
-    standIn.orders.hasModel('assistant'),
+    standIn.modelInventory.hasModel('assistant'),
   ).length;
 }
 
@@ -95,7 +95,9 @@
     network.getProcess(former).resume();
     await clock.advance(20_000);
     for (const {standIn} of system.engines) {
-      const fences = standIn.orders.listApplied().map(({fence}) => fence);
+      const fences = standIn.modelInventory
+        .listApplied()
+        .map(({fence}) => fence);
       const sorted = [...fences].sort((left, right) => left - right);
       assert.deepEqual(fences, sorted);
     }
--- a/packages/stand-ins/src/batch.ts
+++ b/packages/stand-ins/src/batch.ts
@@ -1,40 +1,40 @@
 import type {Clock} from '@hollowstack/clock';
 import {computeHash, computeNextToken} from './model-text.ts';
 
-/** A sequence to be generated. */
+/** A request to generate one sequence. */
 export interface SequenceRequest {
   readonly model: string;
   readonly prompt: string;
   readonly maxTokens: number;
-  /** 0 goes first. */
+  /** Lower values are admitted to the batch first. */
   readonly priority: number;
-  /** Milliseconds of prefill that the cache does not save. */
+  /** Milliseconds of prefill for the part of the prompt that is not cached. */
   readonly prefillMs: number;
   readonly handleToken: (token: string) => void;
   readonly handleEnd: () => void;
-  /** Told the engine time spent on this sequence in each step. */
-  readonly handleBusy: (busyMs: number) => void;
+  /** Called after each step with the engine time spent on this sequence, in milliseconds. */
+  readonly handleBusyTime: (busyMs: number) => void;
 }
 
 interface Sequence {
   readonly request: SequenceRequest;
   readonly order: number;
   hash: number;
-  emitted: number;
-  prefillLeftMs: number;
+  emittedTokens: number;
+  remainingPrefillMs: number;
 }
 
-/** How the batch slows as it fills. */
+/** Size of the batch, and how its steps slow down as it fills. */
 export interface BatchOptions {
-  /** Sequences generated at the same time. */
+  /** Maximum number of sequences in the batch. */
   readonly maxRunning: number;
-  /** Milliseconds a step takes with an empty batch. */
+  /** Base milliseconds of a step. */
   readonly stepMs: number;
-  /** Milliseconds more for each sequence in the batch. */
+  /** Additional milliseconds of a step for each sequence in the batch. */
   readonly perSequenceMs: number;
 }
 
-/** Continuous batching: each step gives every running sequence one token. */
+/** Continuous batching: each step advances prefill or emits one token for every running sequence. */
 export class Batch {
   private readonly clock: Clock;
   private readonly options: BatchOptions;
@@ -62,19 +62,19 @@
     return this.queued.length;
   }
 
-  /** Returns tokens a second that one sequence gets at the present batch. */
+  /** Returns the tokens per second of one sequence at the current batch size. */
   getTokensPerSecond(): number {
     return 1000 / this.computeStepMs();
   }
 
-  /** Adds a sequence; the returned function cancels it. */
+  /** Queues a sequence by priority, then arrival; the returned function cancels it. */
   addSequence(request: SequenceRequest): () => void {
     const sequence: Sequence = {
       request,
       order: this.nextOrder++,
       hash: computeHash(request.prompt, computeHash(request.model)),
-      emitted: 0,
-      prefillLeftMs: request.prefillMs,
+      emittedTokens: 0,
+      remainingPrefillMs: request.prefillMs,
     };
     this.queued.push(sequence);
     this.queued.sort(
@@ -105,9 +105,9 @@
 
   private finishStep(stepMs: number): void {
     this.isStepping = false;
-    const share = stepMs / Math.max(1, this.running.length);
+    const busyMsPerSequence = stepMs / Math.max(1, this.running.length);
     for (const sequence of [...this.running]) {
-      sequence.request.handleBusy(share);
+      sequence.request.handleBusyTime(busyMsPerSequence);
       this.advanceSequence(sequence, stepMs);
     }
     this.admitQueued();
@@ -115,15 +115,15 @@
   }
 
   private advanceSequence(sequence: Sequence, stepMs: number): void {
-    if (sequence.prefillLeftMs > 0) {
-      sequence.prefillLeftMs -= stepMs / this.getSlowFactor();
+    if (sequence.remainingPrefillMs > 0) {
+      sequence.remainingPrefillMs -= stepMs / this.getSlowFactor();
       return;
     }
     const token = computeNextToken(sequence.hash);
     sequence.hash = computeHash(token, sequence.hash);
-    sequence.emitted += 1;
+    sequence.emittedTokens += 1;
     sequence.request.handleToken(token);
-    if (sequence.emitted < sequence.request.maxTokens) return;
+    if (sequence.emittedTokens < sequence.request.maxTokens) return;
     this.removeSequence(sequence);
     sequence.request.handleEnd();
   }
--- a/packages/stand-ins/src/engine-stand-in.ts
+++ b/packages/stand-ins/src/engine-stand-in.ts
@@ -22,19 +22,19 @@
 import {PrefixCache} from './prefix-cache.ts';
 import type {WorkRecord} from './work-log.ts';
 
-/** What an engine can do and how fast. */
+/** Models, capacity and speed of an engine. */
 export interface EngineOptions extends BatchOptions {
-  /** Milliseconds of prefill for each 1,000 characters not in the cache. */
+  /** Milliseconds of prefill per 1,000 prompt characters that are not cached. */
   readonly prefillPerKilocharacterMs: number;
   readonly cacheBlocks: number;
-  /** Milliseconds by which load reports lag. */
+  /** Maximum age of load reports in milliseconds. */
   readonly reportLagMs: number;
   readonly models: readonly string[];
-  /** Whether orders with an older fence than the highest seen are refused. */
+  /** Whether orders with a fence below the highest one seen are rejected. */
   readonly checksFence: boolean;
-  /** Every how many cache events one is lost; 0 for none. */
+  /** Every n-th cache event is lost; 0 loses none. */
   readonly loseCacheEventEvery: number;
-  /** Milliseconds an ordered load of a model takes. */
+  /** Milliseconds that an engine takes to load a model. */
   readonly loadMs: number;
 }
 
@@ -51,9 +51,9 @@
 
 const CUT_AFTER_TOKENS = 3;
 
-/** Stands in for a model engine. */
+/** A stand-in for a model engine. */
 export class EngineStandIn extends HandlerStandIn {
-  readonly orders: ModelInventory;
+  readonly modelInventory: ModelInventory;
   private readonly clock: Clock;
   private readonly options: EngineOptions;
   private readonly batch: Batch;
@@ -70,13 +70,13 @@
       () => this.faults.getSetting().slowFactor,
     );
     this.cache = new PrefixCache(options.cacheBlocks);
-    this.orders = new ModelInventory(clock, options);
+    this.modelInventory = new ModelInventory(clock, options);
     this.report = new LaggingReport(clock, options.reportLagMs, () =>
       this.createReport(),
     );
   }
 
-  /** Empties the cache, as a restart does. */
+  /** Empties the prefix cache, as a restart does. */
   removeCache(): void {
     this.cache.removeAll();
   }
@@ -108,7 +108,7 @@
       workDone: Math.round(this.workLog.getTotalBusyMs()),
       tokensPerSecond: this.batch.getTokensPerSecond(),
       state: this.faults.getSetting().mode === 'leaving' ? 'leaving' : 'live',
-      models: this.orders.listModels(),
+      models: this.modelInventory.listModels(),
       atMs: this.clock.getNow(),
     };
   }
@@ -123,12 +123,12 @@
 
   private handleOrder(request: HttpRequest): HttpResponse {
     const order = orderSchema.parse(parseRequestJson(request));
-    const verdict = this.orders.applyOrder(order);
+    const verdict = this.modelInventory.applyOrder(order);
     return createJsonResponse(verdict === 'stale-fence' ? 409 : 200, {verdict});
   }
 
-  // The cache's blocks are their prefixes, so an export is a list of them and
-  // an import makes the next prompt a cached one.
+  // A cache block is identified by its prefix: an export lists the prefixes, and an import
+  // adds them to the cache, so that a later prompt with such a prefix hits it.
   private handleImport(request: HttpRequest): HttpResponse {
     const {prefixes} = prefixesSchema.parse(parseRequestJson(request));
     prefixes.forEach(prefix => this.cache.addPrompt(prefix));
@@ -139,7 +139,7 @@
     const {mode} = this.faults.getSetting();
     if (mode === 'leaving') return createNotRunResponse('leaving');
     const completion = completionSchema.parse(parseRequestJson(request));
-    if (!this.orders.hasModel(completion.model)) {
+    if (!this.modelInventory.hasModel(completion.model)) {
       return createNotRunResponse(`model ${completion.model} is not loaded`);
     }
     const echo = this.createEchoHeaders(request);
@@ -155,7 +155,7 @@
       const headers = {'content-type': 'text/event-stream', ...echo};
       return {status: 200, headers, body};
     }
-    return createWholeResponse(body, echo);
+    return createCompleteResponse(body, echo);
   }
 
   private startSequence(
@@ -179,10 +179,10 @@
       maxTokens: completion.max_tokens,
       priority: completion.priority,
       prefillMs: this.computePrefillMs(completion.prompt),
-      handleBusy: busyMs => this.workLog.addBusyMs(record, busyMs),
+      handleBusyTime: busyMs => this.workLog.addBusyMs(record, busyMs),
       handleToken: token => {
         sent += 1;
-        if (this.isBreaking(sent)) {
+        if (this.isCutDue(sent)) {
           cancelSequence();
           this.finishEarly(queue);
           return;
@@ -199,10 +199,10 @@
     return queue;
   }
 
-  private isBreaking(sentTokens: number): boolean {
+  private isCutDue(sentTokens: number): boolean {
     const {mode} = this.faults.getSetting();
-    const isBreaking = mode === 'cutting' || mode === 'truncating';
-    return isBreaking && sentTokens > CUT_AFTER_TOKENS;
+    const isCutMode = mode === 'cutting' || mode === 'truncating';
+    return isCutMode && sentTokens > CUT_AFTER_TOKENS;
   }
 
   private finishEarly(queue: AsyncQueue<Uint8Array>): void {
@@ -224,7 +224,7 @@
 
 const chunkSchema = z.object({choices: z.array(z.object({text: z.string()}))});
 
-async function createWholeResponse(
+async function createCompleteResponse(
   body: AsyncIterable<Uint8Array>,
   echo: Record<string, string>,
 ): Promise<HttpResponse> {
--- a/packages/stand-ins/src/fault-switch.ts
+++ b/packages/stand-ins/src/fault-switch.ts
@@ -1,12 +1,13 @@
 import {z} from 'zod';
 
-/** How a stand-in behaves. */
+/** Fault mode and slow-down of a stand-in. */
 export const faultSettingSchema = z.object({
   /**
-   * ok: as it should; failing: answers 500; wedged: takes work and never ends
-   * it; leaving: refuses new work with 503; crossed: gives another request's
-   * answer under its identity; cutting: breaks answers off half way;
-   * truncating: ends streams half way as if they were whole.
+   * ok: no fault; failing: answers 500; wedged: accepts work and never finishes
+   * it; leaving: rejects new work with 503; crossed: returns the answer to
+   * another request, with that request's attempt id; cutting: breaks the
+   * connection midway through an answer; truncating: ends streams midway
+   * without the end marker or an error.
    */
   mode: z
     .enum([
@@ -19,13 +20,13 @@
       'truncating',
     ])
     .default('ok'),
-  /** Factor on every duration. */
+  /** Multiplier of every duration. */
   slowFactor: z.number().positive().default(1),
 });
-/** How a stand-in behaves. */
+/** Fault mode and slow-down of a stand-in. */
 export type FaultSetting = z.infer<typeof faultSettingSchema>;
 
-/** Holds the fault that is switched on. */
+/** Holds the current fault setting of a stand-in. */
 export class FaultSwitch {
   private setting: FaultSetting = faultSettingSchema.parse({});
 
--- a/packages/stand-ins/src/handler-stand-in.ts
+++ b/packages/stand-ins/src/handler-stand-in.ts
@@ -6,15 +6,15 @@
 import {FaultSwitch, faultSettingSchema} from './fault-switch.ts';
 import {WorkLog} from './work-log.ts';
 
-/** Path of the control call that switches faults. */
+/** Path of the control call that sets a stand-in's faults. */
 export const CONTROL_PATH = '/stand-in/faults';
 
-/** An upstream stand-in: a handler with a fault switch and a record of its work. */
+/** Base of the upstream stand-ins: a request handler with a fault switch and a work log. */
 export abstract class HandlerStandIn {
   readonly faults = new FaultSwitch();
   readonly workLog = new WorkLog();
 
-  /** Answers one request as the upstream would. */
+  /** Answers a request: a control call, a health check or work. */
   async handle(request: HttpRequest): Promise<HttpResponse> {
     if (request.path === CONTROL_PATH) return this.handleControl(request);
     if (request.path === '/health') return createJsonResponse(200, {});
@@ -24,7 +24,7 @@
   /** Answers a request that is not a control call. */
   protected abstract handleWork(request: HttpRequest): Promise<HttpResponse>;
 
-  /** Returns the echo headers, or another request's where answers are crossed. */
+  /** Creates the header that echoes the attempt id; a different id in mode `crossed`. */
   protected createEchoHeaders(request: HttpRequest): Record<string, string> {
     const isCrossed = this.faults.getSetting().mode === 'crossed';
     const attemptId = request.headers['x-attempt-id'] ?? '';
@@ -40,7 +40,7 @@
   }
 }
 
-/** Creates the refusal of work that was not begun. */
+/** Creates the 503 response for work that was rejected before it began. */
 export function createNotRunResponse(reason: string): HttpResponse {
   return createJsonResponse(
     503,
@@ -49,14 +49,18 @@
   );
 }
 
-/** Creates a failure of work that was begun. */
+/** Creates the 500 response for work that failed after it began. */
 export function createFailureResponse(
   echo: Record<string, string>,
 ): HttpResponse {
   return createJsonResponse(500, {error: {message: 'stand-in fault'}}, echo);
 }
 
-/** Reads a request's JSON body. */
+/**
+ * Parses the JSON body of a request.
+ *
+ * @throws SyntaxError if the body is not JSON.
+ */
 export function parseRequestJson(request: HttpRequest): unknown {
   return JSON.parse(Buffer.from(request.body).toString('utf8'));
 }
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,4 +1,4 @@
-/** Small stand-ins for what hollowstack is used with; their records are the tests' oracle. */
+/** Stand-ins for the external systems that hollowstack uses; test oracles read their work logs. */
 export {
   computeChatAnswer,
   computeCompletion,
--- a/packages/stand-ins/src/key-value-state.ts
+++ b/packages/stand-ins/src/key-value-state.ts
@@ -1,4 +1,4 @@
-/** A stored value with the store revisions that touched it. */
+/** A stored value with the store revisions at which its key was created and last modified. */
 export interface StoredValue {
   readonly value: string;
   readonly createRevision: number;
@@ -6,7 +6,7 @@
   readonly leaseId: string | undefined;
 }
 
-/** One change to a key, as watches tell it. */
+/** One change to a key, as reported to watches. */
 export interface StoredChange {
   readonly key: string;
   /** Undefined for a deletion. */
@@ -14,7 +14,7 @@
   readonly revision: number;
 }
 
-/** Keys with their values at one store revision. */
+/** The keys and values of the store at its current revision. */
 export class KeyValueState {
   private values = new Map<string, StoredValue>();
   private currentRevision = 1;
@@ -27,7 +27,7 @@
     return this.values.get(key);
   }
 
-  /** Returns the keys from start to before end, in order; without an end the one key. */
+  /** Returns the existing keys from `start` to before `end`, sorted; only `start` if `end` is undefined. */
   listRange(start: string, end: string | undefined): string[] {
     if (end === undefined) return this.values.has(start) ? [start] : [];
     return [...this.values.keys()]
@@ -35,26 +35,26 @@
       .sort();
   }
 
-  /** Returns the keys under a lease. */
+  /** Returns the keys attached to a lease. */
   listLeaseKeys(leaseId: string): string[] {
     return [...this.values]
       .filter(([, stored]) => stored.leaseId === leaseId)
       .map(([key]) => key);
   }
 
-  /** Returns the leases that any key is under. */
+  /** Returns the ids of all leases that have keys attached. */
   listLeaseIds(): string[] {
     const ids = [...this.values.values()].map(({leaseId}) => leaseId);
     return [...new Set(ids.filter(id => id !== undefined))];
   }
 
-  /** Begins a new store revision. */
+  /** Increments the store revision and returns it. */
   advanceRevision(): number {
     this.currentRevision += 1;
     return this.currentRevision;
   }
 
-  /** Writes a key under the present revision. */
+  /** Writes a key at the current revision. */
   putValue(key: string, value: string, leaseId?: string): StoredChange {
     const revision = this.currentRevision;
     const createRevision = this.values.get(key)?.createRevision ?? revision;
@@ -68,13 +68,13 @@
     return {key, stored, revision};
   }
 
-  /** Deletes a key under the present revision. */
+  /** Deletes a key at the current revision. */
   removeValue(key: string): StoredChange {
     this.values.delete(key);
     return {key, stored: undefined, revision: this.currentRevision};
   }
 
-  /** Creates a copy that later changes leave alone. */
+  /** Creates a copy that later changes to this state do not affect. */
   createCopy(): KeyValueState {
     const copy = new KeyValueState();
     copy.values = new Map(this.values);
--- a/packages/stand-ins/src/lagging-report.ts
+++ b/packages/stand-ins/src/lagging-report.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '@hollowstack/clock';
 import type {LoadReport} from '@hollowstack/types';
 
-/** Serves load reports that are up to `lagMs` old. */
+/** Serves a cached load report that is up to `lagMs` milliseconds old. */
 export class LaggingReport {
   private readonly clock: Clock;
   private readonly lagMs: number;
@@ -17,7 +17,7 @@
     this.report = {running: 0, queued: 0, state: 'live'};
   }
 
-  /** Returns the newest report that the lag allows. */
+  /** Returns the cached report, or a new one if the cached one is `lagMs` old. */
   getReport(): LoadReport {
     const nowMs = this.clock.getNow();
     if (nowMs - this.takenAtMs >= this.lagMs) {
--- a/packages/stand-ins/src/model-inventory.ts
+++ b/packages/stand-ins/src/model-inventory.ts
@@ -1,29 +1,29 @@
 import type {Clock} from '@hollowstack/clock';
 import {z} from 'zod';
 
-/** An order to an engine. */
+/** A placement order to an engine. */
 export const orderSchema = z.object({
-  /** Fencing token of the holder that sent it. */
+  /** Fencing token of the lease holder that sent the order. */
   fence: z.number(),
-  /** Revision of the plan that the order belongs to. */
+  /** Revision of the placement plan. */
   planRevision: z.number(),
-  /** Models that the engine shall hold from now on. */
+  /** Models that the engine must have loaded; it unloads all others. */
   models: z.array(z.string()),
 });
-/** An order to an engine. */
+/** A placement order to an engine. */
 export type Order = z.infer<typeof orderSchema>;
 
-/** What became of an order. */
+/** Outcome of an order: applied, or rejected for a fence below the highest one seen. */
 export type OrderVerdict = 'applied' | 'stale-fence';
 
-/** How an engine takes orders. */
+/** Initial models of an engine, and how it applies orders. */
 export interface ModelInventoryOptions {
   readonly models: readonly string[];
   readonly checksFence: boolean;
   readonly loadMs: number;
 }
 
-/** The models an engine holds, and the orders that changed them. */
+/** The models that an engine has loaded, and the orders that it has applied. */
 export class ModelInventory {
   private readonly clock: Clock;
   private readonly options: ModelInventoryOptions;
@@ -50,23 +50,25 @@
     return this.applied;
   }
 
-  /** Takes one order; a model that is new is there once it is loaded. */
+  /** Applies an order: unloads other models at once and loads missing ones after `loadMs`. */
   applyOrder(order: Order): OrderVerdict {
     const isStale = order.fence < this.highestFence;
     if (this.options.checksFence && isStale) return 'stale-fence';
     this.highestFence = Math.max(this.highestFence, order.fence);
     this.applied.push(order);
-    const wanted = new Set(order.models);
-    this.models = new Set([...this.models].filter(model => wanted.has(model)));
-    for (const model of wanted) this.startLoading(model);
+    const orderedModels = new Set(order.models);
+    this.models = new Set(
+      [...this.models].filter(model => orderedModels.has(model)),
+    );
+    for (const model of orderedModels) this.startLoading(model);
     return 'applied';
   }
 
   private startLoading(model: string): void {
     if (this.models.has(model)) return;
     this.clock.schedule(this.options.loadMs, () => {
-      const isStillWanted = this.applied.at(-1)?.models.includes(model);
-      if (isStillWanted) this.models.add(model);
+      const isStillOrdered = this.applied.at(-1)?.models.includes(model);
+      if (isStillOrdered) this.models.add(model);
     });
   }
 }
--- a/packages/stand-ins/src/model-text.ts
+++ b/packages/stand-ins/src/model-text.ts
@@ -1,12 +1,12 @@
-// The stand-ins' "models" are hashes: any process can compute the one right
-// answer to a request, so a test sees at once when an answer is not whole or
-// belongs to another request.
+// The models of the stand-ins are deterministic hash functions: any process can compute the
+// expected answer to a request, so a test detects an answer that is incomplete or belongs to
+// another request.
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 const EMBEDDING_LENGTH = 4;
 
-/** Computes a 32-bit hash of a text, going on from an earlier one. */
+/** Computes the 32-bit FNV-1a hash of a text, continuing from an earlier hash if given. */
 export function computeHash(text: string, seed = FNV_OFFSET): number {
   let hash = seed;
   for (let index = 0; index < text.length; index++) {
@@ -15,12 +15,12 @@
   return hash;
 }
 
-/** Computes the token that follows a text with the given hash. */
+/** Computes the token that the models generate after a text with the given hash. */
 export function computeNextToken(textHash: number): string {
   return ` w${(textHash % 9973).toString(36)}`;
 }
 
-/** Computes what a model writes after a prompt. */
+/** Computes the completion that a model generates for a prompt. */
 export function computeCompletion(
   model: string,
   prompt: string,
@@ -36,7 +36,7 @@
   return text;
 }
 
-/** Computes the vector of a text. */
+/** Computes the embedding of a text. */
 export function computeEmbedding(text: string): number[] {
   let hash = computeHash(text);
   return Array.from({length: EMBEDDING_LENGTH}, () => {
@@ -45,13 +45,13 @@
   });
 }
 
-/** A document as the retriever answers it. */
+/** A document in an answer of the retriever. */
 export interface StandInDocument {
   readonly id: string;
   readonly text: string;
 }
 
-/** Computes the documents nearest to a vector. */
+/** Computes the `top` documents that the retriever returns for an embedding. */
 export function computeDocuments(
   embedding: readonly number[],
   top: number,
@@ -63,12 +63,12 @@
   });
 }
 
-/** Computes how well a document answers a query, from 0 to 1. */
+/** Computes the relevance of a document to a query, from 0 to below 1. */
 export function computeRerankScore(query: string, text: string): number {
   return computeHash(text, computeHash(query)) / 0x1_0000_0000;
 }
 
-/** Computes the prompt for an input after the stages that a template has before it. */
+/** Computes the prompt for an input and the documents that earlier stages selected, if any. */
 export function computePromptText(
   input: string,
   documents: readonly string[],
@@ -78,18 +78,25 @@
 }
 
 const RETRIEVED_DOCUMENTS = 8;
-const KEPT_DOCUMENTS = 3;
+const RERANKED_DOCUMENTS = 3;
 
-/** Computes what a pipeline of all four stages answers, with 8 documents found and 3 kept. */
+/** Computes the answer of a pipeline with all four stages that retrieves 8 documents and reranks to 3. */
 export function computeChatAnswer(
   model: string,
   input: string,
   tokenCount: number,
 ): string {
-  const kept = computeDocuments(computeEmbedding(input), RETRIEVED_DOCUMENTS)
+  const topDocuments = computeDocuments(
+    computeEmbedding(input),
+    RETRIEVED_DOCUMENTS,
+  )
     .map(({text}) => ({text, score: computeRerankScore(input, text)}))
     .sort((left, right) => right.score - left.score)
-    .slice(0, KEPT_DOCUMENTS)
+    .slice(0, RERANKED_DOCUMENTS)
     .map(({text}) => text);
-  return computeCompletion(model, computePromptText(input, kept), tokenCount);
+  return computeCompletion(
+    model,
+    computePromptText(input, topDocuments),
+    tokenCount,
+  );
 }
--- a/packages/stand-ins/src/platform-messages.ts
+++ b/packages/stand-ins/src/platform-messages.ts
@@ -1,13 +1,13 @@
 import {z} from 'zod';
 
-/** A range as the gateway's JSON writes it: both ends in base64. */
+/** A key range in the JSON of the etcd gateway; both ends are in base64. */
 export const wireRangeSchema = z.object({
   key: z.string(),
   range_end: z.string().optional(),
   min_mod_revision: z.coerce.number().default(0),
 });
 
-/** One step of a transaction. */
+/** One operation of a transaction; exactly one of the keys is set. */
 export const wireOperationSchema = z.object({
   request_put: z
     .object({key: z.string(), value: z.string(), lease: z.string().optional()})
@@ -16,7 +16,7 @@
   request_delete_range: wireRangeSchema.optional(),
 });
 
-/** A transaction. */
+/** A transaction: operations that depend on whether all comparisons hold. */
 export const wireTransactionSchema = z.object({
   compare: z
     .array(
@@ -32,21 +32,21 @@
   failure: z.array(wireOperationSchema).default([]),
 });
 
-/** One request to create a watch. */
+/** A request to create a watch. */
 export const wireWatchSchema = z.object({create_request: wireRangeSchema});
 
 /** A request to grant a lease. */
 export const wireLeaseGrantSchema = z.object({TTL: z.coerce.number()});
 
-/** A request that names a lease. */
+/** A request to renew or revoke a lease. */
 export const wireLeaseSchema = z.object({ID: z.string()});
 
-/** Decodes a key or value. */
+/** Decodes a key or value from base64. */
 export function decodeText(base64: string): string {
   return Buffer.from(base64, 'base64').toString('utf8');
 }
 
-/** Encodes a key or value. */
+/** Encodes a key or value in base64. */
 export function encodeText(text: string): string {
   return Buffer.from(text, 'utf8').toString('base64');
 }
--- a/packages/stand-ins/src/platform-stand-in.ts
+++ b/packages/stand-ins/src/platform-stand-in.ts
@@ -20,22 +20,22 @@
   type wireOperationSchema,
 } from './platform-messages.ts';
 
-/** How the service misbehaves. */
+/** Faults of the platform's key-value service. */
 export const platformFaultsSchema = z.object({
-  /** Refuses every call. */
+  /** Rejects every call as if the connection was refused. */
   isDown: z.boolean().default(false),
-  /** Milliseconds before each answer. */
+  /** Milliseconds by which answers other than watches are delayed. */
   delayMs: z.number().default(0),
-  /** Answers to lose after they took effect; counts down. */
+  /** Number of upcoming answers to drop after their calls took effect; each drop decrements it. */
   lostReplies: z.number().default(0),
-  /** Serves reads from the moment this was switched on. */
+  /** Serves range reads from the state at the moment this was switched on. */
   isStale: z.boolean().default(false),
-  /** Watches stay open but tell nothing. */
+  /** Keeps watches open without sending events. */
   isWatchSilent: z.boolean().default(false),
-  /** Calls a second that are answered; 0 for no limit. */
+  /** Calls per second before the service answers 429; 0 for no limit. */
   callsPerSecond: z.number().default(0),
 });
-/** How the service misbehaves. */
+/** Faults of the platform's key-value service. */
 export type PlatformFaults = z.infer<typeof platformFaultsSchema>;
 
 type WireOperation = z.infer<typeof wireOperationSchema>;
@@ -54,7 +54,7 @@
   timer: Timer;
 }
 
-/** Stands in for the platform's key-value service, by the JSON gateway of etcd v3. */
+/** A stand-in for the platform's key-value service, with the JSON gateway API of etcd v3. */
 export class PlatformStandIn {
   private readonly clock: Clock;
   private state = new KeyValueState();
@@ -73,7 +73,7 @@
     this.clock = clock;
   }
 
-  /** Switches faults on or off. */
+  /** Sets the given faults and leaves the others as they are. */
   setFaults(faults: Partial<PlatformFaults>): void {
     this.faults = {...this.faults, ...faults};
     this.staleState = this.faults.isStale
@@ -82,26 +82,26 @@
     if (this.faults.isDown) this.closeWatches();
   }
 
-  /** Ends all leases' clocks and all watches. */
+  /** Cancels the timers of all leases and closes all watches. */
   stop(): void {
     for (const {timer} of this.leases.values()) timer.cancel();
     this.leases.clear();
     this.closeWatches();
   }
 
-  /** Returns how many calls came, each waiting watch as one. */
+  /** Returns the number of calls received, including rejected ones; a watch counts once. */
   getCallCount(): number {
     return this.callCount;
   }
 
-  /** Keeps a copy that restoreBackup brings back. */
+  /** Saves a copy of the state for restoreBackup. */
   createBackup(): void {
     this.backup = this.state.createCopy();
   }
 
   /**
-   * Goes back to the saved copy; what came after it is lost. As with etcd, a
-   * restored store is a new cluster with an id of its own.
+   * Restores the saved copy, if any; later writes are lost. As with etcd, a
+   * restored store is a new cluster with a different cluster id.
    */
   restoreBackup(): void {
     if (!this.backup) return;
@@ -111,29 +111,33 @@
     this.closeWatches();
   }
 
-  /** Writes a key as the platform itself would, such as its list of instances. */
+  /** Writes a key as the platform itself does, such as an entry of its instance list. */
   putValue(key: string, value: string): void {
     this.state.advanceRevision();
     this.sendToWatchers([this.state.putValue(key, value)]);
   }
 
-  /** Deletes a key as the platform itself would. */
+  /** Deletes a key as the platform itself does. */
   removeValue(key: string): void {
     this.state.advanceRevision();
     this.sendToWatchers([this.state.removeValue(key)]);
   }
 
-  /** Returns a key's value as it truly is, whatever faults are on. */
+  /** Returns the current value of a key regardless of faults. */
   getValue(key: string): string | undefined {
     return this.state.getValue(key)?.value;
   }
 
-  /** Returns the keys below a prefix as they truly are. */
+  /** Returns the current keys with a prefix regardless of faults. */
   listKeys(prefix: string): string[] {
     return this.state.listRange(prefix, prefix + '\uffff');
   }
 
-  /** Answers one call. */
+  /**
+   * Answers one call.
+   *
+   * @throws TransportError if the service is down or the answer is to be lost.
+   */
   async handle(request: HttpRequest): Promise<HttpResponse> {
     if (request.path === CONTROL_PATH) return this.handleControl(request);
     this.callCount += 1;
@@ -250,7 +254,7 @@
     return {ID: id, TTL: String(ttlSeconds)};
   }
 
-  // A restored lease begins anew; keys under it end unless it is renewed.
+  // A restored lease starts with its full TTL; its keys are deleted unless it is renewed.
   private restoreLeases(): void {
     for (const id of this.state.listLeaseIds()) {
       const ttlMs = this.leases.get(id)?.ttlMs ?? RESTORED_LEASE_MS;
--- a/packages/stand-ins/src/pool-stand-in.ts
+++ b/packages/stand-ins/src/pool-stand-in.ts
@@ -22,17 +22,17 @@
 import {SlotQueue, type SlotJob} from './slot-queue.ts';
 import type {WorkRecord} from './work-log.ts';
 
-/** How fast an encoder, retriever or reranker works. */
+/** Capacity and speed of an encoder, retriever or reranker. */
 export interface PoolOptions {
-  /** Requests worked on at the same time. */
+  /** Requests that are processed concurrently. */
   readonly slots: number;
-  /** Milliseconds for a request without input. */
+  /** Base milliseconds of a request. */
   readonly baseMs: number;
-  /** Milliseconds more for each 1,000 characters of input. */
+  /** Additional milliseconds per 1,000 bytes of the request body. */
   readonly perKilocharacterMs: number;
-  /** Share by which durations differ from request to request, 0 to 1. */
+  /** Maximum relative deviation of a duration from its mean, 0 to 1. */
   readonly spread: number;
-  /** Milliseconds by which load reports lag. */
+  /** Maximum age of load reports in milliseconds. */
   readonly reportLagMs: number;
 }
 
@@ -47,7 +47,7 @@
   top_n: z.number(),
 });
 
-/** Stands in for an encoder, retriever or reranker. */
+/** A stand-in for an encoder, retriever or reranker. */
 export class PoolStandIn extends HandlerStandIn {
   private readonly clock: Clock;
   private readonly options: PoolOptions;
@@ -121,24 +121,24 @@
   private computeDurationMs(request: HttpRequest): number {
     const {baseMs, perKilocharacterMs, spread} = this.options;
     const meanMs = baseMs + (perKilocharacterMs * request.body.length) / 1000;
-    // The attempt's id decides the spread, so that each run of a seed is alike.
-    const draw =
+    // Derived from the attempt id, so that runs with the same seed are identical.
+    const uniform =
       computeHash(request.headers['x-attempt-id'] ?? '') / 0x1_0000_0000;
     const {slowFactor} = this.faults.getSetting();
-    return meanMs * (1 + spread * (2 * draw - 1)) * slowFactor;
+    return meanMs * (1 + spread * (2 * uniform - 1)) * slowFactor;
   }
 }
 
-// A crossed answer is the right one to another request.
+// A crossed answer is the correct answer to a different request.
 function computeAnswer(request: HttpRequest, isCrossed: boolean): unknown {
   const body = parseRequestJson(request);
-  const crossing = isCrossed ? ' of another' : '';
+  const crossedSuffix = isCrossed ? ' of another' : '';
   if (request.path === '/v1/embeddings') {
     const {input} = embeddingsSchema.parse(body);
     return {
       data: input.map((text, index) => ({
         index,
-        embedding: computeEmbedding(text + crossing),
+        embedding: computeEmbedding(text + crossedSuffix),
       })),
     };
   }
@@ -150,7 +150,7 @@
   const results = documents
     .map((text, index) => ({
       index,
-      relevance_score: computeRerankScore(query + crossing, text),
+      relevance_score: computeRerankScore(query + crossedSuffix, text),
     }))
     .sort((left, right) => right.relevance_score - left.relevance_score)
     .slice(0, topCount);
--- a/packages/stand-ins/src/prefix-cache.ts
+++ b/packages/stand-ins/src/prefix-cache.ts
@@ -1,10 +1,10 @@
 import type {CacheEvent} from '@hollowstack/types';
 
-/** Characters of a prompt that one block of the cache covers. */
+/** Prompt characters per cache block. */
 export const BLOCK_CHARACTERS = 64;
-const KEPT_EVENTS = 1000;
+const MAX_EVENTS = 1000;
 
-/** A least-recently-used cache of prompt prefixes, in blocks. */
+/** An LRU cache of prompt prefixes in blocks of `BLOCK_CHARACTERS`. */
 export class PrefixCache {
   private readonly capacityBlocks: number;
   private readonly blocks = new Set<string>();
@@ -15,7 +15,7 @@
     this.capacityBlocks = capacityBlocks;
   }
 
-  /** Adds a prompt's prefixes and returns how many of its characters were there before. */
+  /** Adds the prefixes of a prompt and returns how many of its characters were cached before. */
   addPrompt(prompt: string): number {
     let cachedCharacters = 0;
     let isCached = true;
@@ -30,17 +30,17 @@
     return cachedCharacters;
   }
 
-  /** Returns the events after a sequence number that are still kept. */
+  /** Returns the retained events after a sequence number; only the newest events are retained. */
   listEventsAfter(sequence: number): readonly CacheEvent[] {
     return this.events.filter(event => event.sequence > sequence);
   }
 
-  /** Returns the prefixes that are held, the one unused longest first. */
+  /** Returns the cached prefixes, least recently used first. */
   listPrefixes(): string[] {
     return [...this.blocks];
   }
 
-  /** Drops every block, as a restart does. */
+  /** Removes all blocks without recording evictions, as a restart does. */
   removeAll(): void {
     this.blocks.clear();
   }
@@ -55,7 +55,7 @@
 
   private recordEvent(kind: CacheEvent['kind'], prefix: string): void {
     this.events.push({sequence: this.nextSequence++, kind, prefix});
-    if (this.events.length > KEPT_EVENTS) this.events.shift();
+    if (this.events.length > MAX_EVENTS) this.events.shift();
   }
 }
 
--- a/packages/stand-ins/src/service-stand-in.ts
+++ b/packages/stand-ins/src/service-stand-in.ts
@@ -13,14 +13,14 @@
 import {LaggingReport} from './lagging-report.ts';
 import {SlotQueue} from './slot-queue.ts';
 
-/** How fast a plain service works. */
+/** Capacity and speed of a plain service. */
 export interface ServiceOptions {
   readonly slots: number;
   readonly serviceMs: number;
   readonly reportLagMs: number;
 }
 
-/** Stands in for a plain service; counts how often each call ran. */
+/** A stand-in for a plain service; counts the runs of each call by its body. */
 export class ServiceStandIn extends HandlerStandIn {
   private readonly clock: Clock;
   private readonly options: ServiceOptions;
@@ -38,7 +38,7 @@
     );
   }
 
-  /** Returns how often the call with this body ran. */
+  /** Returns how many times the call with this body ran. */
   getRunCount(body: string): number {
     return this.runCounts.get(body) ?? 0;
   }
@@ -48,8 +48,8 @@
       return createJsonResponse(200, this.report.getReport());
     }
     if (request.path === '/stand-in/run-count') {
-      const asked = Buffer.from(request.body).toString('utf8');
-      return createJsonResponse(200, {count: this.getRunCount(asked)});
+      const requestedBody = Buffer.from(request.body).toString('utf8');
+      return createJsonResponse(200, {count: this.getRunCount(requestedBody)});
     }
     const {mode, slowFactor} = this.faults.getSetting();
     if (mode === 'leaving') return createNotRunResponse('leaving');
@@ -63,8 +63,8 @@
     );
     const durationMs = this.options.serviceMs * slowFactor;
     await this.runJob(mode === 'wedged' ? Infinity : durationMs);
-    // A plain service does not notice that its caller is gone: what it has
-    // taken it runs, which is why such calls must never be sent twice.
+    // A plain service does not notice a disconnected caller: it runs every call that it
+    // has accepted, so a call that is not repeatable must never be sent twice.
     this.runCounts.set(body, this.getRunCount(body) + 1);
     record.outcome = 'finished';
     if (mode === 'failing') return createFailureResponse(echo);
--- a/packages/stand-ins/src/slot-queue.ts
+++ b/packages/stand-ins/src/slot-queue.ts
@@ -8,13 +8,13 @@
   readonly begin: () => void;
 }
 
-/** Handle on a queued or running job. */
+/** Handle to a queued or running job. */
 export interface SlotJob {
-  /** Takes the job out, running or not. */
+  /** Removes the job, whether it is queued or running; its `finish` is not called. */
   cancel(): void;
 }
 
-/** A fixed number of slots that work through jobs by priority, then arrival. */
+/** Runs jobs in a fixed number of slots, ordered by priority, then arrival. */
 export class SlotQueue {
   private readonly clock: Clock;
   private readonly slotCount: number;
@@ -35,7 +35,7 @@
     return this.queued.length;
   }
 
-  /** Adds a job; `begin` and `finish` are called as it starts and ends. */
+  /** Queues a job; `begin` is called when it starts, `finish` when it completes. */
   addJob(
     priority: number,
     durationMs: number,
--- a/packages/stand-ins/src/work-log.ts
+++ b/packages/stand-ins/src/work-log.ts
@@ -1,25 +1,25 @@
-/** One piece of work that a stand-in took on. */
+/** One unit of work that a stand-in has started. */
 export interface WorkRecord {
   readonly requestId: string;
   readonly attemptId: string;
-  /** What the work was about; for plain services the call's own id. */
+  /** The prompt at an engine, the path at a pool, the request body at a plain service. */
   readonly subject: string;
   readonly startedAtMs: number;
-  /** Milliseconds of upstream time spent so far. */
+  /** Milliseconds of upstream time spent on the work so far. */
   busyMs: number;
   outcome: 'running' | 'finished' | 'cancelled';
 }
 
-// Load runs last long; only the newest records are kept, the totals go on.
-const KEPT_RECORDS = 50_000;
+// Bounds memory in long load runs: older records are dropped, the totals still count them.
+const MAX_RECORDS = 50_000;
 
-/** A stand-in's own record of what ran; the oracle reads it. */
+/** The work that a stand-in has started; test oracles compare it with the answers to callers. */
 export class WorkLog {
   private readonly records: WorkRecord[] = [];
   private startedCount = 0;
   private totalBusyMs = 0;
 
-  /** Records that work has begun. */
+  /** Records the start of work; the caller updates the returned record's outcome. */
   startWork(
     requestId: string,
     attemptId: string,
@@ -35,12 +35,12 @@
       outcome: 'running',
     };
     this.records.push(record);
-    if (this.records.length > KEPT_RECORDS) this.records.shift();
+    if (this.records.length > MAX_RECORDS) this.records.shift();
     this.startedCount += 1;
     return record;
   }
 
-  /** Adds upstream time to a record and to the total. */
+  /** Adds milliseconds of upstream time to a record and to the total. */
   addBusyMs(record: WorkRecord, busyMs: number): void {
     record.busyMs += busyMs;
     this.totalBusyMs += busyMs;
