--- a/packages/fuzz/src/commands.ts
+++ b/packages/fuzz/src/commands.ts
@@ -2,22 +2,22 @@
 import type {FaultSetting} from '@hollowstack/stand-ins';
 import type {FuzzHarness} from './fuzz-harness.ts';
 
-/** The model: only what decides whether a command makes sense. */
+/** The model of fast-check's model-based testing; every command may run in any state. */
 export interface FuzzModel {
   requests: number;
 }
 
-/** One step of a run. */
+/** One command of a fuzz run. */
 export type FuzzCommand = fc.AsyncCommand<FuzzModel, FuzzHarness>;
 
-/** A command made of a name, its arguments and what it does. */
+/** A command that runs an action; its text names the command and its arguments. */
 class NamedCommand implements FuzzCommand {
   private readonly text: string;
-  private readonly action: (world: FuzzHarness) => Promise<void> | void;
+  private readonly action: (harness: FuzzHarness) => Promise<void> | void;
 
   constructor(
     text: string,
-    action: (world: FuzzHarness) => Promise<void> | void,
+    action: (harness: FuzzHarness) => Promise<void> | void,
   ) {
     this.text = text;
     this.action = action;
@@ -27,10 +27,10 @@
     return true;
   }
 
-  async run(_model: FuzzModel, world: FuzzHarness): Promise<void> {
-    await this.action(world);
-    // A moment for what the command set going, far less than any deadline.
-    await world.clock.advance(1);
+  async run(_model: FuzzModel, harness: FuzzHarness): Promise<void> {
+    await this.action(harness);
+    // Lets work that the command started begin; far shorter than any deadline.
+    await harness.clock.advance(1);
   }
 
   toString(): string {
@@ -52,7 +52,7 @@
       ([instance, pipeline, isStreamed]) =>
         new NamedCommand(
           `send(${instance}, ${pipeline}, ${isStreamed ? 'streamed' : 'whole'})`,
-          world => world.sendPipeline(instance, pipeline, isStreamed),
+          harness => harness.sendPipeline(instance, pipeline, isStreamed),
         ),
     ),
   fc
@@ -61,21 +61,21 @@
       ([instance, hasKey]) =>
         new NamedCommand(
           `book(${instance}, ${hasKey ? 'keyed' : 'unkeyed'})`,
-          world => world.sendBooking(instance, hasKey),
+          harness => harness.sendBooking(instance, hasKey),
         ),
     ),
   fc
     .tuple(index, index)
     .map(
       ([instance, which]) =>
-        new NamedCommand(`resend(${instance}, ${which})`, world =>
-          world.sendBookingAgain(instance, which),
+        new NamedCommand(`resend(${instance}, ${which})`, harness =>
+          harness.sendBookingAgain(instance, which),
         ),
     ),
   index.map(
     which =>
-      new NamedCommand(`cancelCaller(${which})`, world =>
-        world.cancelCaller(which),
+      new NamedCommand(`cancelCaller(${which})`, harness =>
+        harness.cancelCaller(which),
       ),
   ),
 ];
@@ -83,28 +83,34 @@
 const instances = [
   index.map(
     which =>
-      new NamedCommand(`kill(${which})`, world => world.killInstance(which)),
+      new NamedCommand(`kill(${which})`, harness =>
+        harness.killInstance(which),
+      ),
   ),
   index.map(
     which =>
-      new NamedCommand(`pause(${which})`, world => world.pauseInstance(which)),
+      new NamedCommand(`pause(${which})`, harness =>
+        harness.pauseInstance(which),
+      ),
   ),
   fc.constant(
-    new NamedCommand('resumeAll()', world => world.resumeInstances()),
+    new NamedCommand('resumeAll()', harness => harness.resumeInstances()),
   ),
   index.map(
     which =>
-      new NamedCommand(`drain(${which})`, world => world.drainInstance(which)),
+      new NamedCommand(`drain(${which})`, harness =>
+        harness.drainInstance(which),
+      ),
   ),
   fc
     .tuple(index, index, fc.boolean())
     .map(
-      ([left, right, isCut]) =>
-        new NamedCommand(`cut(${left}, ${right}, ${isCut})`, world =>
-          world.network.setPartitioned(
-            world.getInstance(left).id,
-            world.getInstance(right).id,
-            isCut,
+      ([left, right, isPartitioned]) =>
+        new NamedCommand(`cut(${left}, ${right}, ${isPartitioned})`, harness =>
+          harness.network.setPartitioned(
+            harness.getInstance(left).id,
+            harness.getInstance(right).id,
+            isPartitioned,
           ),
         ),
     ),
@@ -130,19 +136,19 @@
     ([which, setting]) =>
       new NamedCommand(
         `upstream(${which}, ${JSON.stringify(setting)})`,
-        world => {
-          const all = world.listUpstreams();
+        harness => {
+          const all = harness.listUpstreams();
           all[which % all.length].standIn.faults.setSetting(setting);
         },
       ),
   ),
   fc.tuple(index, fc.boolean()).map(
-    ([which, isGone]) =>
-      new NamedCommand(`gone(${which}, ${isGone})`, world => {
-        const all = world.listUpstreams();
+    ([which, isUnreachable]) =>
+      new NamedCommand(`gone(${which}, ${isUnreachable})`, harness => {
+        const all = harness.listUpstreams();
         const {id} = all[which % all.length].upstream;
-        for (const instance of world.system.instances) {
-          world.network.setPartitioned(id, instance.id, isGone);
+        for (const instance of harness.system.instances) {
+          harness.network.setPartitioned(id, instance.id, isUnreachable);
         }
       }),
   ),
@@ -150,8 +156,8 @@
     .tuple(index, fc.boolean())
     .map(
       ([which, isLeaving]) =>
-        new NamedCommand(`listed(${which}, leaving: ${isLeaving})`, world =>
-          world.setListedLeaving(which, isLeaving),
+        new NamedCommand(`listed(${which}, leaving: ${isLeaving})`, harness =>
+          harness.setListedLeaving(which, isLeaving),
         ),
     ),
 ];
@@ -167,20 +173,22 @@
 const platform = [
   platformFaults.map(
     faults =>
-      new NamedCommand(`platform(${JSON.stringify(faults)})`, world =>
-        world.setPlatformFaults(faults),
+      new NamedCommand(`platform(${JSON.stringify(faults)})`, harness =>
+        harness.setPlatformFaults(faults),
       ),
   ),
   fc.constant(
-    new NamedCommand('backup()', world => world.system.platform.createBackup()),
+    new NamedCommand('backup()', harness =>
+      harness.system.platform.createBackup(),
+    ),
   ),
-  fc.constant(new NamedCommand('restore()', world => world.restoreStore())),
+  fc.constant(new NamedCommand('restore()', harness => harness.restoreStore())),
   fc
     .tuple(index, fc.nat({max: 1}))
     .map(
       ([instance, pool]) =>
-        new NamedCommand(`publish(${instance}, pool ${pool})`, world =>
-          world.publishChange(instance, pool),
+        new NamedCommand(`publish(${instance}, pool ${pool})`, harness =>
+          harness.publishChange(instance, pool),
         ),
     ),
 ];
@@ -189,12 +197,12 @@
   .constantFrom(5, 40, 150, 600, 2000)
   .map(
     durationMs =>
-      new NamedCommand(`advance(${durationMs})`, world =>
-        world.clock.advance(durationMs),
+      new NamedCommand(`advance(${durationMs})`, harness =>
+        harness.clock.advance(durationMs),
       ),
   );
 
-/** Creates runs of commands, of which half send requests or let time pass. */
+/** Creates an arbitrary for sequences of commands; requests and time steps are weighted more heavily. */
 export function createCommandArbitrary(
   maxCommands: number,
 ): fc.Arbitrary<Iterable<FuzzCommand>> {
--- a/packages/fuzz/src/fixed-seeds.ts
+++ b/packages/fuzz/src/fixed-seeds.ts
@@ -2,13 +2,17 @@
 import {runFuzz} from './run-fuzz.ts';
 
 /**
- * Runs of one seed in CI. Each seed is a test file of its own, so that the
- * test runner spreads them over the processors.
+ * Fuzz runs per fixed seed in CI. Each seed has its own test file, so that the
+ * test runner distributes the seeds over the processors.
  */
 export const FIXED_RUNS = 1450;
 const MAX_COMMANDS = 40;
 
-/** Fuzzes one fixed seed; the commands of a run are the same every time. */
+/**
+ * Fuzzes with one fixed seed; the seed determines the commands.
+ *
+ * @throws Error if a run violates an invariant.
+ */
 export async function checkFixedSeed(
   t: TestContext,
   seed: number,
--- a/packages/fuzz/src/fuzz-harness.ts
+++ b/packages/fuzz/src/fuzz-harness.ts
@@ -14,15 +14,15 @@
 import type {ConfigObject} from '@hollowstack/types';
 import type {Outcome, SentRequest} from './sent-request.ts';
 
-/** One published change as its operator was told of it. */
+/** A configuration change whose publication was answered with success. */
 export interface AcceptedChange {
   readonly changeId: string;
   readonly revision: number;
-  /** Instances that had it in force when it was accepted and were not hit since. */
+  /** Instances that had the change in force when it was accepted and have not been killed or paused since. */
   readonly instancesInForce: Set<string>;
 }
 
-/** One upstream that the platform's list says is leaving. */
+/** A period in which the platform's instance list reports an upstream as leaving. */
 export interface LeavingRecord {
   readonly upstream: string;
   readonly fromMs: number;
@@ -30,13 +30,13 @@
 }
 
 const INSTANCES = 3;
-const START_LIMIT_MS = 30_000;
+const PROMISE_TIMEOUT_MS = 30_000;
 const MAX_LATENCY_MS = 4;
-/** Milliseconds in which what a process wrote before its end still arrives. */
-const LAST_BYTES_MS = 50;
+/** Delay between a drain and the end of the process, in which its last bytes arrive. */
+const FINAL_DELIVERY_MS = 50;
 const DEADLINES_MS = {chat: 2000, summary: 8000, booking: 2000};
 
-/** A whole system on a manual clock, with a record of all that callers were told. */
+/** A complete system on a manual clock, with a record of all requests and their outcomes. */
 export class FuzzHarness {
   readonly clock = new ManualClock();
   readonly network: MemoryNetwork;
@@ -44,15 +44,15 @@
   readonly requests: SentRequest[] = [];
   readonly acceptedChanges: AcceptedChange[] = [];
   readonly leavingRecords: LeavingRecord[] = [];
-  readonly violations: string[] = [];
-  /** Whether the store was ever put back to an older state. */
+  readonly revisionRegressions: string[] = [];
+  /** Whether the store was restored from a backup at any time. */
   wasRestored = false;
-  /** Whether the platform's list could not be read at some time. */
-  isListHidden = false;
+  /** Whether instances may have been unable to read the platform's instance list at any time. */
+  wasListUnreadable = false;
   private readonly random: () => number;
   private nextSubject = 1;
 
-  /** @param seed Decides latencies and every random choice of the daemons. */
+  /** @param seed Determines latencies and every random choice of the daemons. */
   constructor(seed: number) {
     this.random = createSeededRandom(seed);
     this.network = new MemoryNetwork(this.clock, {
@@ -74,7 +74,7 @@
     });
   }
 
-  /** Brings the system up with the sample configuration in force. */
+  /** Starts the system and waits until the sample configuration is in force. */
   async start(): Promise<void> {
     await this.waitForPromise(this.system.start());
     await this.waitForPromise(this.system.publish());
@@ -83,20 +83,24 @@
     this.acceptedChanges.push({
       changeId: 'setup',
       revision: 1,
-      instancesInForce: this.listWitnesses(1),
+      instancesInForce: this.listInstancesInForce(1),
     });
   }
 
-  /** Lets time pass until a promise settles. */
+  /**
+   * Advances the clock until a promise settles.
+   *
+   * @throws Error if it does not settle within `PROMISE_TIMEOUT_MS`.
+   */
   waitForPromise<T>(promise: Promise<T>): Promise<T> {
-    return this.clock.advanceUntil(promise, START_LIMIT_MS);
+    return this.clock.advanceUntil(promise, PROMISE_TIMEOUT_MS);
   }
 
   getInstance(index: number): LocalInstance {
     return this.system.instances[index % this.system.instances.length];
   }
 
-  /** Sends a pipeline request; its outcome comes as time passes. */
+  /** Sends a pipeline request; its outcome is recorded once the clock has advanced far enough. */
   sendPipeline(
     index: number,
     pipeline: 'chat' | 'summary',
@@ -117,7 +121,7 @@
           .then(({text, end, problem}) => ({
             type: 'stream',
             text,
-            isWhole: end !== undefined,
+            isComplete: end !== undefined,
             problem,
           }))
       : caller
@@ -132,14 +136,14 @@
     this.followOutcome(request, outcome);
   }
 
-  /** Sends a booking, with an idempotency key or without. */
+  /** Sends a booking with or without an idempotency key. */
   sendBooking(index: number, hasKey: boolean): void {
     const number = this.nextSubject++;
     const key = hasKey ? `key-${number}` : undefined;
     this.sendBookingCall(index, `booking-${number}`, key);
   }
 
-  /** Sends an earlier keyed booking again, to any instance. */
+  /** Sends an earlier booking again with its idempotency key; does nothing if there is none. */
   sendBookingAgain(index: number, which: number): void {
     const keyed = this.requests.filter(
       ({idempotencyKey}) => idempotencyKey !== undefined,
@@ -149,21 +153,21 @@
     this.sendBookingCall(index, subject, idempotencyKey);
   }
 
-  /** One caller that waits goes away. */
+  /** Disconnects a caller that waits for an answer; does nothing if there is none. */
   cancelCaller(which: number): void {
     const waiting = this.requests.filter(
       ({outcome, kind}) => outcome === undefined && kind !== 'stream',
     );
     if (waiting.length === 0) return;
     const request = waiting[which % waiting.length];
-    request.isCallerGone = true;
+    request.isCallerDisconnected = true;
     request.controller.abort(new Error('caller gone'));
   }
 
-  /** Kills an instance and starts another in its place. */
+  /** Kills an instance and starts a replacement. */
   async killInstance(index: number): Promise<void> {
     const instance = this.getInstance(index);
-    this.recordHit(instance);
+    this.recordInstanceFault(instance);
     this.network.getProcess(instance.id).kill();
     await this.network.stopServing(instance.address);
     this.system.removeInstance(instance);
@@ -172,7 +176,7 @@
 
   pauseInstance(index: number): void {
     const instance = this.getInstance(index);
-    this.recordHit(instance);
+    this.recordInstanceFault(instance);
     this.network.getProcess(instance.id).pause();
   }
 
@@ -181,7 +185,7 @@
       this.network.getProcess(id).resume();
   }
 
-  /** Stops an instance by plan and starts another in its place. */
+  /** Drains an instance and starts a replacement; does nothing if there is only one instance. */
   async drainInstance(index: number): Promise<void> {
     if (this.system.instances.length <= 1) return;
     const instance = this.getInstance(index);
@@ -189,18 +193,18 @@
     void instance.daemon
       .drain()
       .then(() =>
-        this.clock.schedule(LAST_BYTES_MS, () => this.endProcess(instance)),
+        this.clock.schedule(FINAL_DELIVERY_MS, () => this.endProcess(instance)),
       );
     await this.startInstance();
   }
 
-  /** The process of an instance that has stopped by plan is gone. */
+  /** Ends the process of an instance after its drain. */
   private endProcess(instance: LocalInstance): void {
     this.network.getProcess(instance.id).kill();
     void this.network.stopServing(instance.address);
   }
 
-  /** The platform's list says that an upstream leaves, or that it is live again. */
+  /** Lists an upstream as leaving or as live in the platform's instance list. */
   setListedLeaving(index: number, isLeaving: boolean): void {
     const {group, upstream} = this.getListedUpstream(index);
     const state = isLeaving ? 'leaving' : 'live';
@@ -211,7 +215,7 @@
     this.recordLeaving(upstream.upstream.id, isLeaving);
   }
 
-  /** An operator changes one pool's expected time through one instance. */
+  /** Publishes, through one instance, a change of the expected time of one pool. */
   publishChange(index: number, pool: number): void {
     const instance = this.getInstance(index);
     const changeId = `change-${this.nextSubject++}`;
@@ -230,16 +234,16 @@
           this.acceptedChanges.push({
             changeId,
             revision,
-            instancesInForce: this.listWitnesses(revision),
+            instancesInForce: this.listInstancesInForce(revision),
           });
         },
         () => {},
       );
   }
 
-  /** Switches faults of the platform's service. */
+  /** Sets faults of the platform's key-value service. */
   setPlatformFaults(faults: Partial<PlatformFaults>): void {
-    this.isListHidden ||=
+    this.wasListUnreadable ||=
       faults.isDown === true ||
       faults.isStale === true ||
       faults.isWatchSilent === true ||
@@ -247,15 +251,15 @@
     this.system.platform.setFaults(faults);
   }
 
-  /** Puts the store back to an earlier backup. */
+  /** Restores the store from its last backup, if any. */
   restoreStore(): void {
     this.wasRestored = true;
-    this.isListHidden = true;
+    this.wasListUnreadable = true;
     this.system.platform.restoreBackup();
   }
 
-  /** Ends every fault and waits for all that is still under way. */
-  async endFaults(healMs: number): Promise<void> {
+  /** Ends every fault and advances the clock, so that pending requests complete. */
+  async endFaults(recoveryMs: number): Promise<void> {
     this.resumeInstances();
     this.system.platform.setFaults({
       isDown: false,
@@ -269,7 +273,7 @@
     for (const standIn of this.system.listStandIns()) {
       standIn.faults.setSetting({mode: 'ok', slowFactor: 1});
     }
-    await this.clock.advance(healMs);
+    await this.clock.advance(recoveryMs);
   }
 
   listUpstreams(): LocalUpstream[] {
@@ -287,7 +291,7 @@
     let highest = holder.getRevision();
     holder.addListener(({revision}) => {
       if (revision <= highest) {
-        this.violations.push(
+        this.revisionRegressions.push(
           `${instance.id} went from revision ${highest} to ${revision}`,
         );
       }
@@ -334,7 +338,7 @@
       sentAtMs: this.clock.getNow(),
       deadlineMs: DEADLINES_MS[pipeline ?? 'booking'],
       controller: new AbortController(),
-      isCallerGone: false,
+      isCallerDisconnected: false,
       isInstanceFaulted: !this.network.getProcess(instance.id).isRunning(),
       outcome: undefined,
       settledAtMs: 0,
@@ -353,7 +357,7 @@
     );
   }
 
-  private recordHit(instance: LocalInstance): void {
+  private recordInstanceFault(instance: LocalInstance): void {
     for (const request of this.requests) {
       if (request.instance === instance.id && request.outcome === undefined) {
         request.isInstanceFaulted = true;
@@ -366,21 +370,21 @@
 
   private recordLeaving(upstream: string, isLeaving: boolean): void {
     const nowMs = this.clock.getNow();
-    const open = this.leavingRecords.find(
+    const openRecord = this.leavingRecords.find(
       record => record.upstream === upstream && record.untilMs === Infinity,
     );
-    if (isLeaving && !open) {
+    if (isLeaving && !openRecord) {
       this.leavingRecords.push({upstream, fromMs: nowMs, untilMs: Infinity});
-    } else if (!isLeaving && open) {
-      open.untilMs = nowMs;
+    } else if (!isLeaving && openRecord) {
+      openRecord.untilMs = nowMs;
     }
   }
 
-  private listWitnesses(revision: number): Set<string> {
-    const holders = this.system.instances.filter(
+  private listInstancesInForce(revision: number): Set<string> {
+    const instances = this.system.instances.filter(
       ({daemon}) => daemon.parts.holder.getRevision() >= revision,
     );
-    return new Set(holders.map(({id}) => id));
+    return new Set(instances.map(({id}) => id));
   }
 
   private getListedUpstream(index: number): {
@@ -399,13 +403,13 @@
     const pools = createSampleConfiguration(this.system.listUpstreams()).filter(
       object => object.kind === 'pool',
     );
-    const chosen = pools[pool % pools.length];
-    const expectedMs = chosen.value.expectedMs + this.nextSubject / 1000;
-    return [{kind: 'pool', value: {...chosen.value, expectedMs}}];
+    const chosenPool = pools[pool % pools.length];
+    const expectedMs = chosenPool.value.expectedMs + this.nextSubject / 1000;
+    return [{kind: 'pool', value: {...chosenPool.value, expectedMs}}];
   }
 }
 
-/** Returns the problem an outcome carries, if any. */
+/** Returns the problem details of an outcome, if any. */
 export function getProblem(outcome: Outcome): Problem | undefined {
   if (outcome.type === 'answer') return outcome.answer.problem;
   return outcome.type === 'stream' ? outcome.problem : undefined;
--- a/packages/fuzz/src/fuzz-seed-2.test.ts
+++ b/packages/fuzz/src/fuzz-seed-2.test.ts
@@ -1,5 +1,5 @@
 import {test} from 'node:test';
 import {FIXED_RUNS, checkFixedSeed} from './fixed-seeds.ts';
 
-test(`every promise holds in ${FIXED_RUNS} runs of fixed seed 2`, t =>
+test(`every invariant holds in ${FIXED_RUNS} runs with fixed seed 2`, t =>
   checkFixedSeed(t, 2));
--- a/packages/fuzz/src/index.ts
+++ b/packages/fuzz/src/index.ts
@@ -1,4 +1,4 @@
-/** Stateful fuzzing of the whole system in process, against a simple oracle. */
+/** Stateful fuzzing of a complete system in one process, checked by an oracle. */
 export {FuzzHarness} from './fuzz-harness.ts';
 export {createCommandArbitrary, type FuzzCommand} from './commands.ts';
 export {checkInvariants, type Violation} from './oracle.ts';
--- a/packages/fuzz/src/main.ts
+++ b/packages/fuzz/src/main.ts
@@ -1,7 +1,7 @@
 import {parseArgs} from 'node:util';
 import {runFuzz} from './run-fuzz.ts';
 
-// npm run fuzz -- --runs N --seed S: wide fuzzing by hand.
+// npm run fuzz -- --runs N --seed S: manual fuzzing over many runs.
 const {values} = parseArgs({
   options: {
     runs: {type: 'string', default: '200'},
@@ -18,7 +18,7 @@
   seed: Number(values.seed),
   maxCommands: Number(values.commands),
   path: values.path,
-  isUnshrunk: values['no-shrink'],
+  skipsShrinking: values['no-shrink'],
 });
 const seconds = ((performance.now() - startedAtMs) / 1000).toFixed(1);
 console.log(
--- a/packages/fuzz/src/oracle.ts
+++ b/packages/fuzz/src/oracle.ts
@@ -2,7 +2,7 @@
 import {getProblem, type FuzzHarness} from './fuzz-harness.ts';
 import type {SentRequest} from './sent-request.ts';
 
-/** A promise that was not kept. */
+/** A violated invariant, with the request or process at which it was seen. */
 export interface Violation {
   readonly invariant: string;
   readonly detail: string;
@@ -11,25 +11,25 @@
 const OK = 200;
 const MODEL = 'assistant';
 const TOKENS = {chat: 24, summary: 120};
-/** Milliseconds past its deadline at which a caller must have its final answer. */
+/** Milliseconds after its deadline by which a caller must have its final answer. */
 const ANSWER_MARGIN_MS = 300;
-/** Milliseconds after which a leaving upstream must get no new work. */
+/** Milliseconds after it was listed as leaving from which an upstream must get no new work. */
 const LEAVING_MARGIN_MS = 3000;
 
-/** Holds what callers were told against what the stand-ins have recorded. */
-export function checkInvariants(world: FuzzHarness): Violation[] {
+/** Compares the outcomes of requests with the work logs of the stand-ins; returns all violations. */
+export function checkInvariants(harness: FuzzHarness): Violation[] {
   return [
-    ...world.requests.flatMap(request => checkAnswered(request)),
-    ...world.requests.flatMap(request => checkWhole(request)),
-    ...checkNotRun(world),
-    ...checkAtMostOnce(world),
-    ...checkLeaving(world),
-    ...checkConfiguration(world),
+    ...harness.requests.flatMap(request => checkAnswered(request)),
+    ...harness.requests.flatMap(request => checkContent(request)),
+    ...checkNotRun(harness),
+    ...checkAtMostOnce(harness),
+    ...checkLeavingUpstreams(harness),
+    ...checkConfiguration(harness),
   ];
 }
 
 function checkAnswered(request: SentRequest): Violation[] {
-  if (request.isCallerGone) return [];
+  if (request.isCallerDisconnected) return [];
   const {outcome, isInstanceFaulted, sentAtMs, settledAtMs, deadlineMs} =
     request;
   if (isInstanceFaulted) return [];
@@ -46,7 +46,7 @@
   ];
 }
 
-function checkWhole(request: SentRequest): Violation[] {
+function checkContent(request: SentRequest): Violation[] {
   const {outcome, pipeline, subject} = request;
   if (!outcome || !pipeline) return [];
   const expected =
@@ -59,27 +59,27 @@
     return [createViolation('answers are whole', request, output.text)];
   }
   if (outcome.type === 'stream') {
-    const isRight = outcome.isWhole
+    const isExpected = outcome.isComplete
       ? outcome.text === expected
       : expected.startsWith(outcome.text);
-    if (!isRight) {
+    if (!isExpected) {
       return [createViolation('streams are whole', request, outcome.text)];
     }
-    if (!outcome.isWhole && !outcome.problem && !request.isInstanceFaulted) {
+    if (!outcome.isComplete && !outcome.problem && !request.isInstanceFaulted) {
       return [createViolation('streams have an end', request, outcome.text)];
     }
   }
   return [];
 }
 
-function checkNotRun(world: FuzzHarness): Violation[] {
+function checkNotRun(harness: FuzzHarness): Violation[] {
   const ranIds = new Set(
-    world.system
+    harness.system
       .listStandIns()
       .flatMap(({workLog}) => workLog.listRecords())
       .map(({requestId}) => requestId),
   );
-  return world.requests.flatMap(request => {
+  return harness.requests.flatMap(request => {
     const problem = request.outcome && getProblem(request.outcome);
     if (problem?.ran !== 'no' || !ranIds.has(problem.requestId)) return [];
     return [
@@ -88,88 +88,94 @@
   });
 }
 
-function checkAtMostOnce(world: FuzzHarness): Violation[] {
-  const bookings = world.requests.filter(({kind}) => kind === 'booking');
+function checkAtMostOnce(harness: FuzzHarness): Violation[] {
+  const bookings = harness.requests.filter(({kind}) => kind === 'booking');
   return bookings.flatMap(request => {
     const body = JSON.stringify({id: request.subject});
-    const runs = world.system.bookings
+    const runCount = harness.system.bookings
       .map(({standIn}) => standIn.getRunCount(body))
       .reduce((sum, count) => sum + count, 0);
-    if (runs > 1) {
-      return [createViolation('at most once', request, `ran ${runs} times`)];
+    if (runCount > 1) {
+      return [
+        createViolation('at most once', request, `ran ${runCount} times`),
+      ];
     }
     const {outcome} = request;
     const isSuccess =
       outcome?.type === 'answer' && outcome.answer.status === OK;
-    if (isSuccess && runs === 0) {
+    if (isSuccess && runCount === 0) {
       return [createViolation('no result is made up', request, 'never ran')];
     }
     return [];
   });
 }
 
-function checkLeaving(world: FuzzHarness): Violation[] {
-  return world.leavingRecords.flatMap(({upstream, fromMs, untilMs}) => {
-    const found = world
+function checkLeavingUpstreams(harness: FuzzHarness): Violation[] {
+  return harness.leavingRecords.flatMap(({upstream, fromMs, untilMs}) => {
+    const leavingUpstream = harness
       .listUpstreams()
       .find(candidate => candidate.upstream.id === upstream);
-    const late = found?.standIn.workLog
+    const lateRecords = leavingUpstream?.standIn.workLog
       .listRecords()
       .filter(
         ({startedAtMs}) =>
           startedAtMs > fromMs + LEAVING_MARGIN_MS && startedAtMs < untilMs,
       );
-    if (!late || late.length === 0 || world.isListHidden) return [];
+    if (!lateRecords || lateRecords.length === 0 || harness.wasListUnreadable)
+      return [];
     return [
       {
         invariant: 'a leaving upstream gets no new work',
-        detail: `${upstream}: ${late.length} after ${LEAVING_MARGIN_MS} ms`,
+        detail: `${upstream}: ${lateRecords.length} after ${LEAVING_MARGIN_MS} ms`,
       },
     ];
   });
 }
 
-function checkConfiguration(world: FuzzHarness): Violation[] {
-  const reverted = world.violations.map(detail => ({
+function checkConfiguration(harness: FuzzHarness): Violation[] {
+  const reverted = harness.revisionRegressions.map(detail => ({
     invariant: 'a configuration never reverts',
     detail,
   }));
-  // A change that the store lost and whose every witness is gone is lost for
-  // good; docs/PROOFS.md says so.
-  const kept = world.acceptedChanges.filter(
+  // A change that a restore removed from the store is lost if no instance that had it in
+  // force is left; docs/PROOFS.md documents this.
+  const surviving = harness.acceptedChanges.filter(
     ({instancesInForce}) =>
-      !world.wasRestored ||
-      world.system.instances.some(({id}) => instancesInForce.has(id)),
+      !harness.wasRestored ||
+      harness.system.instances.some(({id}) => instancesInForce.has(id)),
   );
-  const held = world.system.instances.map(({daemon}) =>
+  const revisionsInForce = harness.system.instances.map(({daemon}) =>
     daemon.parts.holder.getRevision(),
   );
-  const newest = Math.max(...held, ...kept.map(({revision}) => revision));
-  const behind = world.system.instances
+  const newest = Math.max(
+    ...revisionsInForce,
+    ...surviving.map(({revision}) => revision),
+  );
+  const behind = harness.system.instances
     .filter(({daemon}) => daemon.parts.holder.getRevision() < newest)
     .map(({id, daemon}) => ({
       invariant: 'an accepted configuration is in force everywhere',
       detail: `${id} has ${daemon.parts.holder.getRevision()}, accepted was ${newest}`,
     }));
-  const revisions = world.acceptedChanges
+  const revisions = harness.acceptedChanges
     .filter(({revision}) => revision > 1)
     .map(({revision}) => revision);
-  const isDoubled = new Set(revisions).size < revisions.length;
-  const doubled = isDoubled
+  const hasDuplicates = new Set(revisions).size < revisions.length;
+  const duplicates = hasDuplicates
     ? [{invariant: 'a revision is one change', detail: revisions.join(', ')}]
     : [];
-  return [...reverted, ...behind, ...doubled];
+  return [...reverted, ...behind, ...duplicates];
 }
 
 function createViolation(
-  promise: string,
+  invariant: string,
   request: SentRequest,
   detail: string,
 ): Violation {
   const {kind, subject, instance, outcome} = request;
   const problem = outcome && getProblem(outcome);
   return {
-    invariant: promise,
+    invariant,
     detail: `${kind} "${subject}" at ${instance}: ${detail} ${problem ? JSON.stringify(problem) : ''}`,
   };
 }
--- a/packages/fuzz/src/placement-holder.test.ts
+++ b/packages/fuzz/src/placement-holder.test.ts
@@ -9,18 +9,18 @@
 } from '@hollowstack/local-system';
 import {PLACEMENT_HOLDER_KEY} from '@hollowstack/placement';
 
-const LIMIT_MS = 30_000;
+const TIMEOUT_MS = 30_000;
 
-interface PlacedSystem {
+interface PlacementSystem {
   readonly clock: ManualClock;
   readonly network: MemoryNetwork;
   readonly system: LocalSystem;
 }
 
-async function startPlaced(
+async function startPlacement(
   copies: number,
   checksFence: boolean,
-): Promise<PlacedSystem> {
+): Promise<PlacementSystem> {
   const clock = new ManualClock();
   const network = new MemoryNetwork(clock, {getLatencyMs: () => 1});
   const system = new LocalSystem(network, {
@@ -33,14 +33,14 @@
     random: createSeededRandom(4),
     engineOptions: {checksFence, models: []},
   });
-  await clock.advanceUntil(system.start(), LIMIT_MS);
+  await clock.advanceUntil(system.start(), TIMEOUT_MS);
   await publishCopies({clock, network, system}, copies, checksFence);
-  await clock.advanceUntil(system.waitUntilReady(), LIMIT_MS);
+  await clock.advanceUntil(system.waitUntilReady(), TIMEOUT_MS);
   return {clock, network, system};
 }
 
 async function publishCopies(
-  {clock, system}: PlacedSystem,
+  {clock, system}: PlacementSystem,
   copies: number,
   checksFence: boolean,
 ): Promise<void> {
@@ -61,38 +61,38 @@
       return {...object, value: {...object.value, upstreams, placement}};
     },
   );
-  await clock.advanceUntil(system.publish(objects), LIMIT_MS);
+  await clock.advanceUntil(system.publish(objects), TIMEOUT_MS);
 }
 
-function countHolders({system}: PlacedSystem): number {
+function countEnginesWithModel({system}: PlacementSystem): number {
   return system.engines.filter(({standIn}) =>
     standIn.modelInventory.hasModel('assistant'),
   ).length;
 }
 
-test('orders bring the engines to the published copies, one load at a time', async () => {
-  const placed = await startPlaced(2, true);
-  await placed.clock.advance(20_000);
-  assert.equal(countHolders(placed), 2);
-  await placed.system.stop();
+test('placement orders load the published number of copies, one load at a time', async () => {
+  const placementSystem = await startPlacement(2, true);
+  await placementSystem.clock.advance(20_000);
+  assert.equal(countEnginesWithModel(placementSystem), 2);
+  await placementSystem.system.stop();
 });
 
 for (const checksFence of [true, false]) {
   const kind = checksFence ? 'check fences' : 'do not check fences';
-  test(`a former holder that wakes up orders nothing more from engines that ${kind}`, async () => {
-    const placed = await startPlaced(1, checksFence);
-    const {clock, network, system} = placed;
+  test(`a former placement holder that resumes sends no further orders to engines that ${kind}`, async () => {
+    const placementSystem = await startPlacement(1, checksFence);
+    const {clock, network, system} = placementSystem;
     await clock.advance(20_000);
-    const former = system.platform.getValue(PLACEMENT_HOLDER_KEY)!;
-    network.getProcess(former).pause();
-    const other = system.instances.findIndex(({id}) => id !== former);
+    const formerHolder = system.platform.getValue(PLACEMENT_HOLDER_KEY)!;
+    network.getProcess(formerHolder).pause();
+    const other = system.instances.findIndex(({id}) => id !== formerHolder);
     system.instances.unshift(...system.instances.splice(other, 1));
-    await publishCopies(placed, 3, checksFence);
+    await publishCopies(placementSystem, 3, checksFence);
     await clock.advance(40_000);
     const next = system.platform.getValue(PLACEMENT_HOLDER_KEY);
-    assert.notEqual(next, former);
-    assert.equal(countHolders(placed), 3);
-    network.getProcess(former).resume();
+    assert.notEqual(next, formerHolder);
+    assert.equal(countEnginesWithModel(placementSystem), 3);
+    network.getProcess(formerHolder).resume();
     await clock.advance(20_000);
     for (const {standIn} of system.engines) {
       const fences = standIn.modelInventory
@@ -101,7 +101,7 @@
       const sorted = [...fences].sort((left, right) => left - right);
       assert.deepEqual(fences, sorted);
     }
-    assert.equal(countHolders(placed), 3);
+    assert.equal(countEnginesWithModel(placementSystem), 3);
     await system.stop();
   });
 }
--- a/packages/fuzz/src/run-fuzz.ts
+++ b/packages/fuzz/src/run-fuzz.ts
@@ -3,31 +3,31 @@
 import {FuzzHarness} from './fuzz-harness.ts';
 import {checkInvariants} from './oracle.ts';
 
-/** How much to fuzz. */
+/** Size, seed and shrinking of a fuzz run. */
 export interface FuzzOptions {
   readonly runs: number;
   readonly seed: number;
   readonly maxCommands: number;
-  /** Path of a shrunk failure, to run it alone. */
+  /** Path that fast-check printed for a failure; replays only this failure. */
   readonly path?: string;
-  /** Whether a failure is told as it was found, without being made smaller. */
-  readonly isUnshrunk?: boolean;
+  /** Whether a failure is reported as found, without shrinking it. */
+  readonly skipsShrinking?: boolean;
 }
 
-/** What was run. */
+/** Totals over all runs. */
 export interface FuzzReport {
   readonly runs: number;
   readonly commands: number;
   readonly requests: number;
 }
 
-/** Milliseconds in which the system must be whole again after the last fault. */
-const HEAL_MS = 15_000;
+/** Milliseconds after the end of all faults in which the system must recover. */
+const RECOVERY_MS = 15_000;
 
 /**
- * Runs random commands against whole systems.
+ * Runs random commands, each sequence against a new system.
  *
- * @throws Error with the shrunk commands and the seed where a promise broke.
+ * @throws Error with the shrunk commands and the seed if a run violates an invariant.
  */
 export async function runFuzz(options: FuzzOptions): Promise<FuzzReport> {
   const report = {runs: 0, commands: 0, requests: 0};
@@ -35,40 +35,44 @@
     fc.asyncProperty(
       fc.integer(),
       createCommandArbitrary(options.maxCommands),
-      async (worldSeed, commands) => {
-        const world = await runCommands(worldSeed, commands);
+      async (harnessSeed, commands) => {
+        const harness = await runCommands(harnessSeed, commands);
         report.runs += 1;
         report.commands += [...commands].length;
-        report.requests += world.requests.length;
+        report.requests += harness.requests.length;
       },
     ),
     {
       numRuns: options.runs,
       seed: options.seed,
       path: options.path,
-      endOnFailure: options.isUnshrunk ?? false,
+      endOnFailure: options.skipsShrinking ?? false,
     },
   );
   return report;
 }
 
-/** Runs commands on a new system, heals it and checks every promise. */
+/**
+ * Runs commands on a new system, ends all faults and checks every invariant.
+ *
+ * @throws Error that lists the violations.
+ */
 export async function runCommands(
-  worldSeed: number,
+  harnessSeed: number,
   commands: Iterable<FuzzCommand>,
 ): Promise<FuzzHarness> {
-  const world = new FuzzHarness(worldSeed);
-  await world.start();
-  const setup = () => ({model: {requests: 0}, real: world});
+  const harness = new FuzzHarness(harnessSeed);
+  await harness.start();
+  const setup = () => ({model: {requests: 0}, real: harness});
   await fc.asyncModelRun(setup, commands);
-  await world.endFaults(HEAL_MS);
-  const violations = checkInvariants(world);
-  await world.system.stop();
+  await harness.endFaults(RECOVERY_MS);
+  const violations = checkInvariants(harness);
+  await harness.system.stop();
   if (violations.length > 0) {
     const lines = violations.map(
       ({invariant, detail}) => `${invariant}: ${detail}`,
     );
     throw new Error(lines.join('\n'));
   }
-  return world;
+  return harness;
 }
--- a/packages/fuzz/src/sent-request.ts
+++ b/packages/fuzz/src/sent-request.ts
@@ -1,13 +1,13 @@
 import type {CallerAnswer} from '@hollowstack/local-system';
 import type {Problem} from '@hollowstack/errors';
 
-/** What a caller was told, or that its connection broke. */
+/** The answer that a caller received, or the error of its broken connection. */
 export type Outcome =
   | {readonly type: 'answer'; readonly answer: CallerAnswer}
   | {
       readonly type: 'stream';
       readonly text: string;
-      readonly isWhole: boolean;
+      readonly isComplete: boolean;
       readonly problem: Problem | undefined;
     }
   | {readonly type: 'broken'; readonly message: string};
@@ -21,12 +21,12 @@
   readonly pipeline: 'chat' | 'summary' | undefined;
   readonly idempotencyKey: string | undefined;
   readonly sentAtMs: number;
-  /** Milliseconds within which the caller must have heard. */
+  /** Milliseconds from the request within which the caller must have an answer. */
   readonly deadlineMs: number;
   readonly controller: AbortController;
-  /** Whether the caller itself went away. */
-  isCallerGone: boolean;
-  /** Whether its instance was killed or paused meanwhile. */
+  /** Whether the caller disconnected before it had an answer. */
+  isCallerDisconnected: boolean;
+  /** Whether the instance was paused or dead at the start, or killed or paused before the outcome. */
   isInstanceFaulted: boolean;
   outcome: Outcome | undefined;
   settledAtMs: number;
