--- a/packages/process-fleet/src/address-in-use.test.ts
+++ b/packages/process-fleet/src/address-in-use.test.ts
@@ -7,12 +7,12 @@
 import {findFreeAddresses} from '@hollowstack/local-system';
 import {ChildProcess} from './child-process.ts';
 
-/** Exit code for settings that cannot be put in force. */
-const BAD_INPUT = 2;
+/** Exit code for settings that cannot be applied. */
+const BAD_INPUT_EXIT_CODE = 2;
 const PEERS = 'peers = {keys = [{id = "t", secret = "secret-of-these-tests"}]}';
 const INSTANCE = 'instance = {id = "i", failureDomain = "a"}';
 
-async function listenSomewhere(t: TestContext): Promise<string> {
+async function listenOnFreePort(t: TestContext): Promise<string> {
   const server = createServer();
   await new Promise<void>(resolve =>
     server.listen(0, '127.0.0.1', () => resolve()),
@@ -35,27 +35,27 @@
   return child.exited;
 }
 
-test('an entry instance whose address is taken ends and says so', async t => {
-  const taken = await listenSomewhere(t);
+test('an entry instance whose address is in use exits with the code for bad input', async t => {
+  const occupiedAddress = await listenOnFreePort(t);
   const [peerAddress] = await findFreeAddresses(1);
   const exitCode = await runWithSettings(t, 'entry', [
     INSTANCE,
     PEERS,
-    `listen = {address = "${taken}", peerAddress = "${peerAddress}"}`,
+    `listen = {address = "${occupiedAddress}", peerAddress = "${peerAddress}"}`,
     'platform = {address = "127.0.0.1:9"}',
     'operators = {keys = ["secret-of-these-tests"]}',
   ]);
-  assert.equal(exitCode, BAD_INPUT);
+  assert.equal(exitCode, BAD_INPUT_EXIT_CODE);
 });
 
-test('a gateway whose address is taken ends and says so', async t => {
-  const taken = await listenSomewhere(t);
+test('a gateway whose address is in use exits with the code for bad input', async t => {
+  const occupiedAddress = await listenOnFreePort(t);
   const [probeAddress, peerAddress] = await findFreeAddresses(2);
   const exitCode = await runWithSettings(t, 'gateway', [
     INSTANCE,
     PEERS,
-    `listen = {address = "${taken}", probeAddress = "${probeAddress}", peerAddress = "${peerAddress}"}`,
+    `listen = {address = "${occupiedAddress}", probeAddress = "${probeAddress}", peerAddress = "${peerAddress}"}`,
     'store = {address = "127.0.0.1:9"}',
   ]);
-  assert.equal(exitCode, BAD_INPUT);
+  assert.equal(exitCode, BAD_INPUT_EXIT_CODE);
 });
--- a/packages/process-fleet/src/child-process.ts
+++ b/packages/process-fleet/src/child-process.ts
@@ -6,16 +6,16 @@
   import.meta.resolve('@hollowstack/cli/main'),
 );
 
-/** One process of the command line; its lines of output can be waited for. */
+/** A process of the command-line program; records its lines of standard output. */
 export class ChildProcess {
   readonly lines: string[] = [];
-  /** Resolves to the exit code, or null after a signal. */
+  /** Resolves to the exit code, or to null if a signal ended the process. */
   readonly exited: Promise<number | null>;
   private readonly child: NodeChild;
   private listeners: Array<() => void> = [];
-  private isGone = false;
+  private hasExited = false;
 
-  /** @param imports Modules that the process loads before the command line. */
+  /** @param imports Modules that the process loads before the command-line program. */
   constructor(args: readonly string[], imports: readonly string[] = []) {
     const options = imports.flatMap(module => ['--import', module]);
     this.child = spawn(process.execPath, [...options, COMMAND_LINE, ...args], {
@@ -27,29 +27,33 @@
     });
     this.exited = new Promise(resolve => {
       this.child.once('exit', code => {
-        this.isGone = true;
+        this.hasExited = true;
         this.callListeners();
         resolve(code);
       });
     });
   }
 
-  /** Resolves to the first line, of those printed or to come, that the test accepts. */
-  waitForLine(isWanted: (line: string) => boolean): Promise<string> {
+  /**
+   * Resolves to the first line that matches, among those already printed and later ones.
+   *
+   * @throws Error with the output if the process exits without such a line.
+   */
+  waitForLine(isMatch: (line: string) => boolean): Promise<string> {
     return new Promise((resolve, reject) => {
-      const look = () => {
-        const found = this.lines.find(isWanted);
-        if (found === undefined && !this.isGone) return false;
-        if (found === undefined) {
-          reject(new Error(`process ended:\n${this.lines.join('\n')}`));
+      const settleIfFound = () => {
+        const matchingLine = this.lines.find(isMatch);
+        if (matchingLine === undefined && !this.hasExited) return false;
+        if (matchingLine === undefined) {
+          reject(new Error(`process exited:\n${this.lines.join('\n')}`));
         } else {
-          resolve(found);
+          resolve(matchingLine);
         }
         return true;
       };
-      if (look()) return;
+      if (settleIfFound()) return;
       const listener = () => {
-        if (look()) {
+        if (settleIfFound()) {
           this.listeners = this.listeners.filter(other => other !== listener);
         }
       };
@@ -57,9 +61,9 @@
     });
   }
 
-  /** Sends a signal to this process. */
+  /** Sends a signal to the process; does nothing once it has exited. */
   send(signal: NodeJS.Signals): void {
-    if (!this.isGone) this.child.kill(signal);
+    if (!this.hasExited) this.child.kill(signal);
   }
 
   private callListeners(): void {
--- a/packages/process-fleet/src/failures.test.ts
+++ b/packages/process-fleet/src/failures.test.ts
@@ -59,9 +59,9 @@
   return (answer.body as {count: number}).count;
 }
 
-test('a stream whose engine is killed goes on at another, no token lost or doubled', async () => {
+test('a stream whose engine is killed continues at another engine without lost or duplicate tokens', async () => {
   const [entry] = fleet.entries;
-  // Slow enough that the stream still runs when its engine has been found.
+  // Slow enough that the stream is still running when the test has found its engine.
   await setSlowFactor(fleet.engines, 4);
   const streaming = entry.caller.runStreamedPipeline(
     'lima-centro',
@@ -71,14 +71,14 @@
   const busy = await findBusyUpstream(entry, 'generate-pool');
   const engine = fleet.engines.find(({upstream}) => upstream.id === busy);
   engine?.process.send('SIGKILL');
-  const left = fleet.engines.filter(other => other !== engine);
-  await setSlowFactor(left, 1);
+  const remaining = fleet.engines.filter(other => other !== engine);
+  await setSlowFactor(remaining, 1);
   const {text, end} = await streaming;
   assert.equal(text, computeCompletion('assistant', 'deferrals of April', 120));
   assert.notEqual(end, undefined);
 });
 
-test('a booking whose instance is killed runs at most once, and its resend is told the truth', async () => {
+test('a booking whose instance is killed runs at most once, and its retry is answered with an unknown outcome', async () => {
   const [, entry, other] = fleet.entries;
   const [booking] = fleet.bookings;
   const body = {donor: 'd-1', slot: 'mon-9'};
@@ -99,7 +99,7 @@
   assert.ok((await getRunCount(booking, body)) <= 1);
 });
 
-test('an instance that was frozen past a deadline does not run the call late', async () => {
+test('an instance that is paused past a deadline does not run the call late', async () => {
   const [, entry] = fleet.entries;
   const [booking] = fleet.bookings;
   const body = {donor: 'd-2', slot: 'tue-9'};
@@ -108,12 +108,12 @@
     'idempotency-key': 'freeze-1',
     'hollowstack-deadline-ms': '300',
   });
-  // The pause itself is what is tested: it must outlast the deadline.
+  // The pause under test; it must outlast the deadline.
   await waitMs(1000);
   entry.process.send('SIGCONT');
   const answer = await late;
   if (answer.status === 200) {
-    // Its clock began when it read the request after the pause.
+    // The instance read the request after the pause, so its deadline started then.
     assert.equal(await getRunCount(booking, body), 1);
   } else {
     assert.equal(answer.problem?.ran, 'no');
@@ -121,7 +121,7 @@
   }
 });
 
-test('a platform outage stops no traffic; keyed calls are refused as not run; a new instance starts from its peers', async t => {
+test('during a platform outage traffic continues, calls with idempotency keys are rejected as not run, and a new instance starts from its peers', async t => {
   const [entry] = fleet.entries;
   await fleet.setPlatformFaults({isDown: true});
   t.after(() => fleet.setPlatformFaults({isDown: false}));
--- a/packages/process-fleet/src/index.ts
+++ b/packages/process-fleet/src/index.ts
@@ -1,4 +1,4 @@
-/** Starts the command line as separate processes, for tests with real kills, pauses and stops. */
+/** Runs the command-line program as separate processes, for tests that kill, pause and stop real processes. */
 export {LoadLoop} from './load-loop.ts';
 export {ChildProcess} from './child-process.ts';
 export {
--- a/packages/process-fleet/src/load-loop.ts
+++ b/packages/process-fleet/src/load-loop.ts
@@ -1,25 +1,25 @@
 import type {CallerAnswer, SystemCaller} from '@hollowstack/local-system';
 
-/** Counts of what callers of a loop were told. */
+/** Counts of the outcomes of a loop's requests. */
 export interface LoopCounts {
   answered: number;
   refused: number;
-  /** Requests whose connection broke before a whole answer. */
-  cut: number;
+  /** Requests whose connection broke before the answer was complete. */
+  interrupted: number;
 }
 
-/** Callers that send one request after the other until stopped. */
+/** A closed loop of callers; each sends its next request when it has an answer, until stopped. */
 export class LoadLoop {
-  readonly counts: LoopCounts = {answered: 0, refused: 0, cut: 0};
-  /** What callers of cut requests saw. */
+  readonly counts: LoopCounts = {answered: 0, refused: 0, interrupted: 0};
+  /** Errors of the interrupted requests. */
   readonly failures: string[] = [];
   private readonly chooseCaller: () => SystemCaller;
   private readonly running: Array<Promise<void>>;
   private isStopped = false;
 
   /**
-   * @param callers Requests in progress at a time.
-   * @param chooseCaller Stands for the balancer; called once a request.
+   * @param callers Number of concurrent requests.
+   * @param chooseCaller Acts as the load balancer; called once per request.
    */
   constructor(callers: number, chooseCaller: () => SystemCaller) {
     this.chooseCaller = chooseCaller;
@@ -28,15 +28,15 @@
     );
   }
 
-  /** Resolves once so many more requests were answered. */
+  /** Resolves once `count` further requests have been answered. */
   async waitForAnswers(count: number): Promise<void> {
-    const wanted = this.counts.answered + count;
-    while (this.counts.answered < wanted) {
+    const targetCount = this.counts.answered + count;
+    while (this.counts.answered < targetCount) {
       await new Promise(resolve => setTimeout(resolve, 5));
     }
   }
 
-  /** Lets the requests in progress end and sends no more. */
+  /** Stops sending; resolves once the requests in progress have ended. */
   async stop(): Promise<void> {
     this.isStopped = true;
     await Promise.all(this.running);
@@ -50,7 +50,7 @@
         .then(
           answer => this.recordAnswer(answer),
           (error: unknown) => {
-            this.counts.cut += 1;
+            this.counts.interrupted += 1;
             this.failures.push(String(error));
           },
         );
--- a/packages/process-fleet/src/process-fleet.ts
+++ b/packages/process-fleet/src/process-fleet.ts
@@ -11,25 +11,25 @@
 import type {ConfigObject, Upstream} from '@hollowstack/types';
 import {ChildProcess} from './child-process.ts';
 
-/** How many processes of each kind there are. */
+/** Number of processes of each kind. */
 export interface FleetOptions {
   readonly entries: number;
   readonly encoders: number;
   readonly retrievers: number;
   readonly rerankers: number;
   readonly engines: number;
-  /** Arguments for each engine's stand-in. */
+  /** Additional command-line arguments of each engine stand-in. */
   readonly engineArguments?: readonly string[];
 }
 
-/** One daemon of the fleet. */
+/** An entry daemon of the fleet. */
 export interface EntryProcess {
   readonly id: string;
   readonly process: ChildProcess;
   readonly caller: SystemCaller;
 }
 
-/** One stand-in of the fleet. */
+/** A stand-in process of the fleet. */
 export interface UpstreamProcess {
   readonly process: ChildProcess;
   readonly upstream: Upstream;
@@ -39,7 +39,7 @@
 const READY_EVENT = '"name":"entry.ready"';
 const FAILURE_DOMAINS = ['domain-a', 'domain-b', 'domain-c'];
 
-/** A whole system of separate processes on the loopback interface. */
+/** A complete system of separate processes on the loopback interface. */
 export class ProcessFleet {
   readonly entries: EntryProcess[] = [];
   readonly engines: UpstreamProcess[] = [];
@@ -58,7 +58,7 @@
     this.options = options;
   }
 
-  /** Starts all processes, publishes the sample and waits until all are ready. */
+  /** Starts all processes, publishes the sample configuration and waits until all daemons are ready. */
   async start(): Promise<void> {
     const {encoders, retrievers, rerankers, engines, entries} = this.options;
     this.platform = await this.startStandIn('platform', 'platform');
@@ -85,7 +85,7 @@
     );
   }
 
-  /** Starts one more daemon; it may not be ready yet. */
+  /** Starts an additional daemon; it may not be ready when this resolves. */
   async startEntry(): Promise<EntryProcess> {
     const number = this.nextEntry++;
     const id = `entry-${number}`;
@@ -100,12 +100,16 @@
     return entry;
   }
 
-  /** Resolves once a daemon takes requests. */
+  /** Resolves once a daemon has logged that it accepts requests. */
   async waitUntilReady(process: ChildProcess): Promise<void> {
     await process.waitForLine(line => line.includes(READY_EVENT));
   }
 
-  /** Publishes objects through the first daemon; resolves to the revision. */
+  /**
+   * Publishes objects through the first daemon; resolves to the new revision.
+   *
+   * @throws Error if the daemon does not accept them.
+   */
   async publish(
     objects: readonly ConfigObject[],
     baseRevision?: number,
@@ -124,22 +128,22 @@
     return (answer.body as {revision: number}).revision;
   }
 
-  /** Takes a daemon out of the list, as a balancer does. */
+  /** Removes a daemon from the list, as a load balancer does. */
   removeEntry(entry: EntryProcess): void {
     this.entries.splice(this.entries.indexOf(entry), 1);
   }
 
-  /** Returns the upstreams that the sample configuration names. */
+  /** Returns the upstreams of the sample configuration; call it after `start`. */
   getUpstreams(): SampleUpstreams {
     return this.upstreams!;
   }
 
-  /** Switches faults of the platform's stand-in. */
+  /** Sets faults of the platform stand-in. */
   async setPlatformFaults(faults: object): Promise<void> {
     await this.platform!.control.send('POST', '/stand-in/faults', faults);
   }
 
-  /** Kills every process that is left. */
+  /** Kills all processes and removes their settings. */
   async stop(): Promise<void> {
     for (const process of this.processes) {
       process.send('SIGCONT');
--- a/packages/process-fleet/src/rolling-replacement.test.ts
+++ b/packages/process-fleet/src/rolling-replacement.test.ts
@@ -5,7 +5,7 @@
 const CALLERS = 8;
 const ANSWERS_BETWEEN = 20;
 
-test('replacing every instance by plan under load cuts no request and exits with 0', async t => {
+test('a rolling replacement under load interrupts no request and each instance exits with 0', async t => {
   const fleet = new ProcessFleet({
     entries: 2,
     encoders: 1,
@@ -15,17 +15,17 @@
   });
   t.after(() => fleet.stop());
   await fleet.start();
-  let turn = 0;
+  let nextIndex = 0;
   const inRotation = [...fleet.entries];
   const loop = new LoadLoop(
     CALLERS,
-    () => inRotation[turn++ % inRotation.length].caller,
+    () => inRotation[nextIndex++ % inRotation.length].caller,
   );
   for (const entry of [...fleet.entries]) {
     await loop.waitForAnswers(ANSWERS_BETWEEN);
-    inRotation.push(await startReady(fleet));
+    inRotation.push(await startReadyEntry(fleet));
     entry.process.send('SIGTERM');
-    // The balancer lags: it goes on sending until a probe of its own fails.
+    // The load balancer lags: it keeps sending until one of its readiness probes fails.
     while (await isReady(entry)) await loop.waitForAnswers(1);
     await loop.waitForAnswers(CALLERS);
     inRotation.splice(inRotation.indexOf(entry), 1);
@@ -33,7 +33,7 @@
   }
   await loop.stop();
   assert.deepEqual(loop.failures, []);
-  assert.equal(loop.counts.cut, 0);
+  assert.equal(loop.counts.interrupted, 0);
   assert.ok(loop.counts.answered >= 4 * ANSWERS_BETWEEN);
 });
 
@@ -41,7 +41,7 @@
   return (await caller.send('GET', '/readyz')).status === 200;
 }
 
-async function startReady(fleet: ProcessFleet): Promise<EntryProcess> {
+async function startReadyEntry(fleet: ProcessFleet): Promise<EntryProcess> {
   const entry = await fleet.startEntry();
   await fleet.waitUntilReady(entry.process);
   return entry;
--- a/packages/process-fleet/src/whole-path.test.ts
+++ b/packages/process-fleet/src/whole-path.test.ts
@@ -3,7 +3,7 @@
 import {computeChatAnswer} from '@hollowstack/stand-ins';
 import {ProcessFleet} from './index.ts';
 
-test('separate processes serve a request from end to end, whole and streamed', async t => {
+test('separate processes serve a request end to end, with and without streaming', async t => {
   const fleet = new ProcessFleet({
     entries: 2,
     encoders: 2,
