--- a/packages/local-system/src/local-system.test.ts
+++ b/packages/local-system/src/local-system.test.ts
@@ -33,9 +33,13 @@
   await system.publish();
   await system.waitUntilReady();
   const caller = system.createCaller(system.instances[1]);
-  const whole = await caller.runPipeline('lima-centro', 'chat', 'O negative?');
-  assert.equal(whole.status, 200, JSON.stringify(whole.body));
-  const body = whole.body as PipelineAnswer;
+  const unstreamed = await caller.runPipeline(
+    'lima-centro',
+    'chat',
+    'O negative?',
+  );
+  assert.equal(unstreamed.status, 200, JSON.stringify(unstreamed.body));
+  const body = unstreamed.body as PipelineAnswer;
   assert.equal(
     body.output.text,
     computeChatAnswer('assistant', 'O negative?', 24),
--- a/packages/process-fleet/src/whole-path.test.ts
+++ b/packages/process-fleet/src/whole-path.test.ts
@@ -15,13 +15,13 @@
   await fleet.start();
   const expected = computeChatAnswer('assistant', 'who needs O negative?', 24);
   for (const {caller} of fleet.entries) {
-    const whole = await caller.runPipeline(
+    const unstreamed = await caller.runPipeline(
       'lima-centro',
       'chat',
       'who needs O negative?',
     );
-    assert.equal(whole.status, 200, JSON.stringify(whole.body));
-    const {output} = whole.body as {output: {text: string}};
+    assert.equal(unstreamed.status, 200, JSON.stringify(unstreamed.body));
+    const {output} = unstreamed.body as {output: {text: string}};
     assert.equal(output.text, expected);
     const streamed = await caller.runStreamedPipeline(
       'lima-centro',
