--- a/packages/local-system/src/memory-peer-network.ts
+++ b/packages/local-system/src/memory-peer-network.ts
@@ -94,8 +94,8 @@
     simulatedProcess.addDeathListener(() => this.close());
   }
 
-  join(other: MemoryPeerSocket): void {
-    this.remote = other;
+  join(remote: MemoryPeerSocket): void {
+    this.remote = remote;
   }
 
   send(bytes: Uint8Array): void {
