--- a/packages/process-fleet/src/whole-path.test.ts
+++ b/packages/process-fleet/src/whole-path.test.ts
@@ -3,7 +3,7 @@
 import {computeChatAnswer} from '@hollowstack/stand-ins';
 import {ProcessFleet} from './index.ts';
 
-test('separate processes serve a request from end to end, whole and streamed', async t => {
+test('separate processes serve a request end to end, with and without streaming', async t => {
   const fleet = new ProcessFleet({
     entries: 2,
     encoders: 2,
@@ -15,13 +15,13 @@
   await fleet.start();
   const expected = computeChatAnswer('assistant', 'who needs O negative?', 24);
   for (const {caller} of fleet.entries) {
-    const whole = await caller.runPipeline(
+    const unstreamed = await caller.runPipeline(
       'lima-centro',
       'chat',
       'who needs O negative?',
     );
-    assert.equal(whole.status, 200, JSON.stringify(whole.body));
-    const {output} = whole.body as {output: {text: string}};
+    assert.equal(unstreamed.status, 200, JSON.stringify(unstreamed.body));
+    const {output} = unstreamed.body as {output: {text: string}};
     assert.equal(output.text, expected);
     const streamed = await caller.runStreamedPipeline(
       'lima-centro',
