--- a/packages/types/src/address.ts
+++ b/packages/types/src/address.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-/** An IP number and a port; names are not taken, because instances know none. */
+/** An IP address and a port. Host names are rejected: instances do not resolve names. */
 export const addressSchema = z
   .string()
   .regex(
@@ -8,7 +8,7 @@
     'write an IP number and a port, such as 10.0.0.7:8080',
   );
 
-/** Splits an address into what sockets take. */
+/** Splits an address into host (an IPv6 host without its brackets) and port. */
 export function splitAddress(address: string): {host: string; port: number} {
   const colon = address.lastIndexOf(':');
   const host = address.slice(0, colon).replace(/^\[|\]$/g, '');
--- a/packages/types/src/assignment.ts
+++ b/packages/types/src/assignment.ts
@@ -1,44 +1,47 @@
 import {z} from 'zod';
 
-/** One part of a prompt that requests may share. */
+/** A part of a prompt that several requests may share. */
 export const promptPartSchema = z.object({
   id: z.string(),
   tokens: z.number().nonnegative(),
 });
-/** One part of a prompt that requests may share. */
+/** A part of a prompt that several requests may share. */
 export type PromptPart = z.infer<typeof promptPartSchema>;
 
-/** A question which engine a request should go to. */
+/** Asks the coordinator which engine a request should be sent to. */
 export const assignmentRequestSchema = z.object({
   requestId: z.string(),
   service: z.string(),
-  /** The prompt from its beginning; the last part is the request's own. */
+  /** Parts of the prompt in order; the last one belongs to this request only. */
   parts: z.array(promptPartSchema),
-  /** Bytes of inputs that lie in each failure domain. */
+  /** Bytes of inputs that are stored in each failure domain. */
   inputs: z.array(z.object({failureDomain: z.string(), bytes: z.number()})),
-  /** Engines that the request must not go to. */
+  /** Ids of engines that the request must not be sent to. */
   excluded: z.array(z.string()),
-  /** Whether the request is sent now; otherwise only a forecast is asked for. */
+  /** Whether the request is sent now; false if only a prediction is wanted. */
   isFinal: z.boolean(),
   /**
-   * Milliseconds in which the first event should come; absent where the placing is not
-   * to look at it.
+   * Milliseconds within which the first event should arrive; absent if the choice of
+   * the engine ignores it.
    */
   dueInMs: z.number().optional(),
 });
-/** A question which engine a request should go to. */
+/** Asks the coordinator which engine a request should be sent to. */
 export type AssignmentRequest = z.infer<typeof assignmentRequestSchema>;
 
-/** What an instance has seen of a request that was assigned. */
+/** Progress of an assigned request, reported by the instance that sent it. */
 export const assignmentProgressSchema = z.object({
   requestId: z.string(),
   upstreamId: z.string(),
-  /** `first`: its prompt is read. `ended`: it needs nothing more there. */
+  /**
+   * `first`: the engine has processed the prompt. `ended`: the request no longer uses
+   * the engine.
+   */
   step: z.enum(['first', 'ended', 'failed']),
   /** Milliseconds from sending the request to its first event. */
   firstMs: z.number().optional(),
-  /** Whether the engine got nothing of it, or turned it away; absent means no. */
+  /** Whether the request did not reach the engine or was rejected; absent means no. */
   isTurnedAway: z.boolean().optional(),
 });
-/** What an instance has seen of a request that was assigned. */
+/** Progress of an assigned request, reported by the instance that sent it. */
 export type AssignmentProgress = z.infer<typeof assignmentProgressSchema>;
--- a/packages/types/src/call-outcome.ts
+++ b/packages/types/src/call-outcome.ts
@@ -1,20 +1,20 @@
 import {z} from 'zod';
 
-/** An answer as it is kept for a resend. */
+/** An answer that is stored so that a repeated call gets it again. */
 export const storedAnswerSchema = z.object({
   status: z.number(),
   contentType: z.string(),
-  /** Base64; undefined where the answer was too large to be kept. */
+  /** Base64; undefined if the answer was too large to be stored. */
   body: z.string().optional(),
 });
-/** An answer as it is kept for a resend. */
+/** An answer that is stored so that a repeated call gets it again. */
 export type StoredAnswer = z.infer<typeof storedAnswerSchema>;
 
-/** How a claimed call ended, as far as the instance that ran it knows. */
+/** Outcome of a claimed call as recorded by the instance that ran it. */
 export const callOutcomeSchema = z.discriminatedUnion('type', [
   z.object({type: z.literal('finished'), answer: storedAnswerSchema}),
   z.object({type: z.literal('not-run')}),
   z.object({type: z.literal('unknown')}),
 ]);
-/** How a claimed call ended. */
+/** Outcome of a claimed call. */
 export type CallOutcome = z.infer<typeof callOutcomeSchema>;
--- a/packages/types/src/configuration.ts
+++ b/packages/types/src/configuration.ts
@@ -32,20 +32,20 @@
   /** The revision that last changed the object. */
   version: z.number().int(),
 });
-/** Which revision last changed an object. */
+/** Revision that last changed an object. */
 export type ObjectVersion = z.infer<typeof objectVersionSchema>;
 
-/** The newest revision and what it consists of. */
+/** The newest revision and the versions of its objects. */
 export const headSchema = z.object({
   revision: z.number().int().nonnegative(),
-  /** Names the change that made this revision. */
+  /** Id of the change that created this revision. */
   changeId: z.string(),
   objects: z.array(objectVersionSchema),
 });
-/** The newest revision and what it consists of. */
+/** The newest revision and the versions of its objects. */
 export type Head = z.infer<typeof headSchema>;
 
-/** Who changed what, and when. */
+/** Author, time and objects of one change. */
 export const changeRecordSchema = z.object({
   revision: z.number().int(),
   changeId: z.string(),
@@ -55,13 +55,13 @@
   changed: z.array(z.string()),
   removed: z.array(z.string()),
 });
-/** Who changed what, and when. */
+/** Author, time and objects of one change. */
 export type ChangeRecord = z.infer<typeof changeRecordSchema>;
 
-/** A whole configuration at one revision. */
+/** The complete configuration at one revision. */
 export const configurationSnapshotSchema = z.object({
   head: headSchema,
   objects: z.array(configObjectSchema),
 });
-/** A whole configuration at one revision. */
+/** The complete configuration at one revision. */
 export type ConfigurationSnapshot = z.infer<typeof configurationSnapshotSchema>;
--- a/packages/types/src/crash-report.ts
+++ b/packages/types/src/crash-report.ts
@@ -1,17 +1,17 @@
 import {z} from 'zod';
 
 const upstreamCrashSchema = z.object({
-  /** Id of the life of the upstream that ended. */
+  /** Id of the incarnation (process start) of the upstream that ended. */
   upstream: z.string(),
-  /** Milliseconds since the request was sent there, as the sender of this counts. */
+  /** Milliseconds since the request was sent there, by the reporter's clock. */
   sentAgoMs: z.number(),
   /** Milliseconds since the connection broke. */
   endedAgoMs: z.number(),
-  /** Whether the same request was answered since, so that it was not the cause. */
+  /** Whether the same request was answered later, so it did not cause the crash. */
   isRefuted: z.boolean(),
 });
 
-/** What an instance tells its peers of a request under which upstreams have crashed. */
+/** Report to peers about a request during which upstreams have crashed. */
 export const suspectReportSchema = z.object({
   /** Digest of the request's content. */
   fingerprint: z.string(),
@@ -23,5 +23,5 @@
   idleMs: z.number(),
   crashes: z.array(upstreamCrashSchema),
 });
-/** What an instance tells its peers of a request under which upstreams have crashed. */
+/** Report to peers about a request during which upstreams have crashed. */
 export type SuspectReport = z.infer<typeof suspectReportSchema>;
--- a/packages/types/src/decision.ts
+++ b/packages/types/src/decision.ts
@@ -1,14 +1,14 @@
 import {z} from 'zod';
 
-/** One decision about a request: what was chosen, by which rule, on which inputs. */
+/** One decision about a request, with the rule that made it and the rule's inputs. */
 export const decisionSchema = z.object({
   /** Milliseconds since the epoch. */
   atMs: z.number(),
   stage: z.string(),
-  /** Short name of the rule that decided. */
+  /** Short name of the rule that made the decision. */
   rule: z.string(),
   outcome: z.string(),
-  /** Inputs as the rule saw them, written for a person. */
+  /** Inputs of the rule, formatted for a human reader. */
   inputs: z.array(z.string()),
   /** The setting that would change the outcome. */
   setting: z.string().optional(),
--- a/packages/types/src/glossary.test.ts
+++ b/packages/types/src/glossary.test.ts
@@ -18,7 +18,7 @@
     .map(String)
     .filter(path => path.endsWith('.ts') && !path.includes('node_modules'))
     .filter(path => !path.endsWith('glossary.test.ts'))
-    // These name the settings of earlier versions, so as to give their new names.
+    // These files contain names of old settings, to report the new names.
     .filter(path => !/toml-file\/src\/renamed-settings/.test(path))
     .filter(path =>
       pattern.test(readFileSync(new URL(`packages/${path}`, ROOT), 'utf8')),
--- a/packages/types/src/index.ts
+++ b/packages/types/src/index.ts
@@ -1,4 +1,4 @@
-/** Schemas of configuration, settings-independent reports and records; types are inferred. */
+/** Schemas of configuration, reports, records and peer messages, with the inferred types. */
 export {
   STAGE_KINDS,
   poolSchema,
--- a/packages/types/src/objects.ts
+++ b/packages/types/src/objects.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 import {addressSchema} from './address.ts';
 
-/** The kinds of stage a template can have, in the order a request meets them. */
+/** The kinds of stage a template can have, in the order in which a request passes them. */
 export const STAGE_KINDS = [
   'encode',
   'retrieve',
@@ -24,26 +24,26 @@
   address: addressSchema,
   /** Failure domain. */
   failureDomain: nameSchema,
-  /** Whether it compares the fencing token of an order. */
+  /** Whether the upstream checks the fencing token of placement orders. */
   checksFence: z.boolean().default(false),
 });
 /** One upstream of a pool or service. */
 export type Upstream = z.infer<typeof upstreamSchema>;
 
-/** A pool of like upstreams that serve one kind of stage. */
+/** A pool of equivalent upstreams that serve one kind of stage. */
 export const poolSchema = z.strictObject({
   name: nameSchema,
   stage: z.enum(STAGE_KINDS),
   upstreams: z.array(upstreamSchema).min(1),
-  /** Most requests in progress at one upstream. */
+  /** Maximum number of requests in progress at one upstream. */
   concurrencyPerUpstream: z.number().int().positive().default(16),
-  /** Milliseconds a request is expected to take before any was measured. */
+  /** Initial estimate of a request's duration in milliseconds, until one is measured. */
   expectedMs: z.number().positive().default(50),
-  /** Milliseconds without any answer byte after which an upstream counts as silent. */
+  /** Milliseconds without an answer byte after which an upstream counts as unresponsive. */
   silenceMs: z.number().positive().default(2000),
-  /** The models that the pool's engines hold between them. */
+  /** The models that the pool's engines serve between them. */
   models: z.array(nameSchema).default([]),
-  /** Engines that shall hold each model; without it no order is ever sent. */
+  /** Number of engines that load each model; if absent, no placement orders are sent. */
   placement: z
     .strictObject({
       targets: z
@@ -54,14 +54,14 @@
           }),
         )
         .min(1),
-      /** Most models that one engine can hold. */
+      /** Maximum number of models that one engine can hold. */
       modelsPerEngine: z.number().int().positive().default(1),
-      /** Most loads at a time, for the weight store's sake. */
+      /** Maximum number of concurrent model loads, to limit traffic at the weight store. */
       maxLoads: z.number().int().positive().default(2),
     })
     .optional(),
 });
-/** A pool of like upstreams that serve one kind of stage. */
+/** A pool of equivalent upstreams that serve one kind of stage. */
 export type Pool = z.infer<typeof poolSchema>;
 
 /** One stage of a template. */
@@ -69,7 +69,7 @@
   name: nameSchema,
   kind: z.enum(STAGE_KINDS),
   pool: nameSchema,
-  /** Documents to fetch or to keep, for retrieve and rerank. */
+  /** Number of documents that a retrieve stage fetches or a rerank stage keeps. */
   top: z.number().int().positive().max(1000).default(8),
 });
 /** One stage of a template. */
@@ -86,9 +86,9 @@
 /** A workspace's own parameters for one pipeline. */
 export const workspacePipelineSchema = z.strictObject({
   template: nameSchema,
-  /** Milliseconds from arrival to the whole answer. */
+  /** Milliseconds from arrival to the complete answer. */
   deadlineMs: z.number().int().positive().max(600_000),
-  /** 0 goes first, 9 last. */
+  /** 0 is the most urgent, 9 the least. */
   priority: z.number().int().min(0).max(9).default(5),
   model: nameSchema,
   adapter: nameSchema.optional(),
@@ -100,15 +100,15 @@
 /** A workspace with its pipelines and limits. */
 export const workspaceSchema = z.strictObject({
   name: nameSchema,
-  /** What to weigh more where both cannot be had. */
+  /** What to prefer if both cannot be met: finishing in time, or low cost. */
   objective: z.enum(['attainment', 'cost']).default('attainment'),
   pipelines: z.record(nameSchema, workspacePipelineSchema).default({}),
   services: z.array(nameSchema).default([]),
   limits: z
     .strictObject({
-      /** Requests a second over all instances together. */
+      /** Requests per second across all instances. */
       requestsPerSecond: z.number().positive().default(1000),
-      /** Requests in progress over all instances together. */
+      /** Requests in progress across all instances. */
       concurrentRequests: z.number().int().positive().default(1000),
     })
     .prefault({}),
@@ -118,20 +118,20 @@
 
 const serviceOperationSchema = z.strictObject({
   method: z.enum(['GET', 'POST', 'PUT', 'PATCH', 'DELETE']),
-  /** Path below the service; a trailing star stands for any rest. */
+  /** Path below the service; a trailing `*` matches any suffix. */
   path: z.string().startsWith('/'),
-  /** Whether the call may be sent a second time. */
+  /** Whether the call may be sent more than once. */
   repeatable: z.boolean(),
 });
-/** One kind of call of a plain service. */
+/** One kind of call that a plain service accepts. */
 export type ServiceOperation = z.infer<typeof serviceOperationSchema>;
 
-/** A plain service. A call that no operation names is not repeatable. */
+/** A plain service. Calls that match no operation are not repeatable. */
 export const serviceSchema = z.strictObject({
   name: nameSchema,
   upstreams: z.array(upstreamSchema).min(1),
   operations: z.array(serviceOperationSchema).default([]),
-  /** Milliseconds a call may take. */
+  /** Maximum duration of a call in milliseconds. */
   deadlineMs: z.number().int().positive().default(5000),
   concurrencyPerUpstream: z.number().int().positive().default(64),
   expectedMs: z.number().positive().default(20),
--- a/packages/types/src/reports.ts
+++ b/packages/types/src/reports.ts
@@ -1,38 +1,38 @@
 import {z} from 'zod';
 
-/** What an upstream says of its load; it lags behind the truth. */
+/** Load as reported by an upstream; it lags behind the actual load. */
 export const loadReportSchema = z.object({
   running: z.number().nonnegative(),
   queued: z.number().nonnegative(),
-  /** Tokens generated a second by one sequence at the current batch. */
+  /** Tokens per second generated for one sequence at the current batch size. */
   tokensPerSecond: z.number().nonnegative().optional(),
-  /** Counts up with the work done; one that stands still under load is stuck. */
+  /** Counter of completed work; if it does not grow under load, the upstream is stuck. */
   workDone: z.number().nonnegative().optional(),
   state: z.enum(['live', 'leaving']).default('live'),
-  /** Models it holds; left out where that says nothing. */
+  /** Loaded models; absent if the upstream does not report models. */
   models: z.array(z.string()).optional(),
-  /** Milliseconds since the epoch at which the report was true. */
+  /** Time of the reported state, in milliseconds since the epoch. */
   atMs: z.number().optional(),
 });
-/** What an upstream says of its load. */
+/** Load as reported by an upstream. */
 export type LoadReport = z.infer<typeof loadReportSchema>;
 
-/** An engine's word that it holds, or no longer holds, a prompt prefix. */
+/** Reports that an engine has cached or evicted a prompt prefix. */
 export const cacheEventSchema = z.object({
-  /** Counts up by one an event; a jump means that events were lost. */
+  /** Increases by one with each event; a gap means that events were lost. */
   sequence: z.number().int(),
   kind: z.enum(['stored', 'evicted']),
   prefix: z.string(),
 });
-/** An engine's word on its prefix cache. */
+/** A change of an engine's prefix cache. */
 export type CacheEvent = z.infer<typeof cacheEventSchema>;
 
-/** One row of the platform's lagging list of instances. */
+/** One entry of the platform's list of instances, which may lag behind. */
 export const instanceRecordSchema = z.object({
   id: z.string(),
   address: z.string(),
   failureDomain: z.string(),
   state: z.enum(['live', 'leaving']),
 });
-/** One row of the platform's lagging list of instances. */
+/** One entry of the platform's list of instances, which may lag behind. */
 export type InstanceRecord = z.infer<typeof instanceRecordSchema>;
--- a/packages/types/src/stage-job.ts
+++ b/packages/types/src/stage-job.ts
@@ -1,70 +1,70 @@
 import {z} from 'zod';
 
-/** One life of an instance; a later start under the same id is another one. */
+/** One incarnation of an instance; a later start with the same id is another one. */
 export const resultOwnerSchema = z.object({
   /** Id of the instance. */
   instance: z.string(),
   /** When it started, in Unix milliseconds of its own clock. */
   startedAtMs: z.number(),
 });
-/** One life of an instance, which alone reads the results that it has asked for. */
+/** One incarnation of an instance, the only reader of the results it requested. */
 export type ResultOwner = z.infer<typeof resultOwnerSchema>;
 
-/** The pieces of one stage of one request, to be made together. */
+/** The work items of one stage of one request, which are executed together. */
 export const stageJobSchema = z.object({
-  /** Names this submission; a job that is submitted again gets a new one. */
+  /** Id of this submission; a resubmitted job gets a new one. */
   jobId: z.string(),
   requestId: z.string(),
-  /** Who reads the results; absent where an instance of an older version asks. */
+  /** Reader of the results; absent if an instance of an older version asks. */
   owner: resultOwnerSchema.optional(),
   service: z.string(),
   /** Index of the stage in its route. */
   stage: z.number().int().nonnegative(),
-  /** Names route and stage, for what is learnt of them. */
+  /** Identifies route and stage; statistics are collected under this key. */
   stageKey: z.string(),
   pieceCount: z.number().int().positive(),
-  /** What a piece of a stage without inputs is made from. */
+  /** Input of the work items of a stage that reads no earlier results. */
   key: z.string().optional(),
-  /** Handles of all results of the stages that this one reads. */
+  /** Handles of all results that this stage reads. */
   inputs: z.array(z.string()),
-  /** Whether no other stage reads them; absent means that this is not known. */
+  /** Whether no other stage reads the inputs; absent means unknown. */
   isOnlyReader: z.boolean().optional(),
   /** Approximate size of one result in bytes. */
   resultBytes: z.number().nonnegative(),
-  /** Milliseconds until the request's objective; below zero once it is missed. */
+  /** Milliseconds until the request's objective; negative once it is missed. */
   dueInMs: z.number(),
   /**
-   * Milliseconds by which what follows the job may take longer than predicted, so that
-   * others' work should not use them up; absent means none.
+   * Milliseconds of the remaining time that are reserved in case the stages after this
+   * job take longer than predicted; absent means none.
    */
   reserveMs: z.number().nonnegative().optional(),
-  /** Milliseconds until the request is given up. */
+  /** Milliseconds until the request is abandoned. */
   remainingMs: z.number(),
   /** 0 is the most urgent. */
   priority: z.number(),
-  /** Failure domain in which the inputs lie or the results will be read. */
+  /** Failure domain in which the inputs are stored or the results will be read. */
   failureDomain: z.string().optional(),
-  /** Bytes that cross failure domains where the job is done outside its own. */
+  /** Bytes that cross failure domains if the job runs outside its own. */
   crossingBytes: z.number().nonnegative(),
-  /** Whether upstreams crashed under the request, so that no other shares its calls. */
+  /** Whether upstreams crashed while they ran the request; its calls are not shared. */
   isIsolated: z.boolean().optional(),
 });
-/** The pieces of one stage of one request, to be made together. */
+/** The work items of one stage of one request, which are executed together. */
 export type StageJob = z.infer<typeof stageJobSchema>;
 
-/** A result that an upstream keeps until it is released. */
+/** A result that an upstream stores until it is released. */
 export const stageResultSchema = z.object({
   handle: z.string(),
-  /** Address of the upstream that keeps it. */
+  /** Address of the upstream that stores the result. */
   address: z.string(),
   failureDomain: z.string(),
 });
-/** A result that an upstream keeps until it is released. */
+/** A result that an upstream stores until it is released. */
 export type StageResult = z.infer<typeof stageResultSchema>;
-/** A result of which is known who reads it. */
+/** A result whose reader is known. */
 export type OwnedResult = StageResult & {readonly owner: ResultOwner};
 
-/** Why a job has no results. */
+/** Reasons why a job has no results. */
 export const STAGE_FAILURES = [
   'late',
   'input-gone',
@@ -72,10 +72,10 @@
   'overloaded',
   'cancelled',
 ] as const;
-/** Why a job has no results. */
+/** Reason why a job has no results. */
 export type StageFailure = (typeof STAGE_FAILURES)[number];
 
-/** A call whose connection broke, as its upstream may have crashed under it. */
+/** A call whose connection broke; the call may have crashed its upstream. */
 const brokenCallSchema = z.object({
   upstream: z.object({
     id: z.string(),
@@ -86,72 +86,72 @@
   sentAgoMs: z.number(),
   endedAgoMs: z.number(),
 });
-/** A call whose connection broke, as its upstream may have crashed under it. */
+/** A call whose connection broke; the call may have crashed its upstream. */
 export type BrokenCall = z.infer<typeof brokenCallSchema>;
 
-/** What became of a job; results are in the order of its pieces. */
+/** Outcome of a job; results are in the order of its work items. */
 export const stageOutcomeSchema = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('made'),
     results: z.array(stageResultSchema),
-    /** Whether the job's inputs are given back already; absent means no. */
+    /** Whether the job's inputs have been released already; absent means no. */
     areInputsReleased: z.boolean().optional(),
   }),
   z.object({
     type: z.literal('failed'),
     failure: z.enum(STAGE_FAILURES),
     message: z.string(),
-    /** Milliseconds after which to come back, where that is known. */
+    /** Milliseconds after which to retry, if known. */
     retryAfterMs: z.number().nonnegative().optional(),
-    /** Calls for the job whose connection broke; absent where there were none. */
+    /** Calls of the job whose connection broke; absent if there were none. */
     brokenCalls: z.array(brokenCallSchema).optional(),
   }),
 ]);
-/** What became of a job. */
+/** Outcome of a job. */
 export type StageOutcome = z.infer<typeof stageOutcomeSchema>;
 
-/** A copy of what the store held of the upstreams at a revision. */
+/** Copy of the store's entries about upstreams at one revision. */
 export const storeCopySchema = z.object({
   storeRevision: z.number(),
   entries: z.array(z.object({key: z.string(), value: z.string()})),
 });
-/** A copy of what the store held of the upstreams at a revision. */
+/** Copy of the store's entries about upstreams at one revision. */
 export type StoreCopy = z.infer<typeof storeCopySchema>;
 
-/** One stage of a request, as admission sees it. */
+/** One stage of a request, as input of admission. */
 export const stageStepSchema = z.object({
   service: z.string(),
-  /** Names route and stage, for what is learnt of them. */
+  /** Identifies route and stage; statistics are collected under this key. */
   stageKey: z.string(),
   /** Approximate size of one result in bytes. */
   resultBytes: z.number().nonnegative(),
   pieceCount: z.number().int().nonnegative(),
-  /** Indexes of the steps that come before it. */
+  /** Indexes of the steps that must finish before this one. */
   after: z.array(z.number().int().nonnegative()),
 });
-/** One stage of a request, as admission sees it. */
+/** One stage of a request, as input of admission. */
 export type StageStep = z.infer<typeof stageStepSchema>;
 
-/** A question whether the stages of a request can be done in time. */
+/** Asks whether the stages of a request can finish in time. */
 export const stageAdmissionRequestSchema = z.object({
   requestId: z.string(),
-  /** Names the route, for what is learnt of it. */
+  /** Identifies the route; statistics are collected under this key. */
   route: z.string(),
   steps: z.array(stageStepSchema),
   /**
-   * Milliseconds that the request itself takes to its first bytes, as the asking
-   * instance knows.
+   * Milliseconds that the request itself takes until its first bytes, estimated by the
+   * asking instance.
    */
   requestMs: z.number(),
-  /** Tokens of the prompt that no other request shares. */
+  /** Tokens of the prompt that are shared with no other request. */
   ownTokens: z.number().nonnegative().default(0),
   /** Milliseconds until the request's objective. */
   dueInMs: z.number(),
-  /** Milliseconds until the request is given up. */
+  /** Milliseconds until the request is abandoned. */
   remainingMs: z.number(),
   priority: z.number(),
-  /** Whether the caller has the time to come back. */
+  /** Whether the caller has enough time for a retry. */
   mayComeBack: z.boolean(),
 });
-/** A question whether the stages of a request can be done in time. */
+/** Asks whether the stages of a request can finish in time. */
 export type StageAdmissionRequest = z.infer<typeof stageAdmissionRequestSchema>;
