--- a/packages/errors/src/answers.ts
+++ b/packages/errors/src/answers.ts
@@ -1,20 +1,20 @@
 import {match} from 'ts-pattern';
 import type {ErrorKind, RunStatus} from './kinds.ts';
 
-/** What a caller is told for a kind of error. */
+/** Answer that callers receive for a kind of error. */
 export interface ErrorAnswer {
   /** HTTP status code. */
   readonly status: number;
-  /** Whether the request ran, unless the error at hand knows better. */
+  /** Whether the request ran; a single error may override it. */
   readonly ran: RunStatus;
-  /** Milliseconds after which to come back; absent where coming back is of no use. */
+  /** Milliseconds after which to retry; absent if a retry is of no use. */
   readonly retryAfterMs?: number;
   readonly title: string;
-  /** What the reader should do next. */
+  /** What the caller or operator should do next. */
   readonly action: string;
 }
 
-/** Returns the row of the table for a kind. */
+/** Returns the answer for a kind of error. */
 export function getErrorAnswer(kind: ErrorKind): ErrorAnswer {
   return match<ErrorKind, ErrorAnswer>(kind)
     .with('bad-request', () => ({
--- a/packages/errors/src/hollowstack-error.ts
+++ b/packages/errors/src/hollowstack-error.ts
@@ -1,16 +1,16 @@
 import {getErrorAnswer, type ErrorAnswer} from './answers.ts';
 import type {ErrorKind, RunStatus} from './kinds.ts';
 
-/** Particulars of one error that go beyond its kind. */
+/** Values that override the defaults of an error's kind. */
 export interface ErrorDetails {
-  /** Overrides the table's word on whether the request ran. */
+  /** Overrides whether the request ran. */
   readonly ran?: RunStatus;
-  /** Overrides the table's time to come back, in milliseconds. */
+  /** Overrides the time after which to retry, in milliseconds. */
   readonly retryAfterMs?: number;
   readonly cause?: unknown;
 }
 
-/** The one error class of hollowstack; its kind decides the answer. */
+/** Error with a kind that determines the answer to the caller. */
 export class HollowstackError extends Error {
   readonly kind: ErrorKind;
   readonly ran: RunStatus;
@@ -24,13 +24,13 @@
     this.retryAfterMs = details.retryAfterMs ?? this.getAnswer().retryAfterMs;
   }
 
-  /** Returns the row of the table for this error's kind. */
+  /** Returns the default answer for this error's kind. */
   getAnswer(): ErrorAnswer {
     return getErrorAnswer(this.kind);
   }
 }
 
-/** Wraps anything thrown; what is not ours becomes `internal`. */
+/** Returns a HollowstackError as it is and wraps any other thrown value as `internal`. */
 export function toHollowstackError(thrown: unknown): HollowstackError {
   if (thrown instanceof HollowstackError) return thrown;
   const message = thrown instanceof Error ? thrown.message : String(thrown);
--- a/packages/errors/src/index.ts
+++ b/packages/errors/src/index.ts
@@ -1,4 +1,4 @@
-/** The closed list of error kinds, the table from kind to answer, and problem details. */
+/** The list of error kinds, the answer for each kind, and problem details. */
 export {ERROR_KINDS, type ErrorKind, type RunStatus} from './kinds.ts';
 export {getErrorAnswer, type ErrorAnswer} from './answers.ts';
 export {HollowstackError, toHollowstackError} from './hollowstack-error.ts';
--- a/packages/errors/src/kinds.ts
+++ b/packages/errors/src/kinds.ts
@@ -1,4 +1,4 @@
-/** Every kind of error that a caller or an operator can be answered with. */
+/** Every kind of error that a caller or an operator can receive. */
 export const ERROR_KINDS = [
   'bad-request',
   'unauthorized',
@@ -26,8 +26,8 @@
   'internal',
 ] as const;
 
-/** One kind of the closed list. */
+/** One kind of error. */
 export type ErrorKind = (typeof ERROR_KINDS)[number];
 
-/** Whether the request ran: `no` is only said where no work of it can have begun. */
+/** Whether the request ran; `no` only if no part of it can have started. */
 export type RunStatus = 'no' | 'yes' | 'unknown';
--- a/packages/errors/src/problem.ts
+++ b/packages/errors/src/problem.ts
@@ -1,7 +1,7 @@
 import type {HollowstackError} from './hollowstack-error.ts';
 import type {ErrorKind, RunStatus} from './kinds.ts';
 
-/** Problem details as of RFC 9457, with the fields that hollowstack adds. */
+/** Problem details as defined by RFC 9457, extended by fields of hollowstack. */
 export interface Problem {
   readonly type: string;
   readonly title: string;
@@ -11,11 +11,11 @@
   readonly ran: RunStatus;
   readonly action: string;
   readonly requestId: string;
-  /** Milliseconds after which to come back. */
+  /** Milliseconds after which to retry. */
   readonly retryAfterMs?: number;
 }
 
-/** Creates the body of an error answer. */
+/** Creates the problem details for an error. */
 export function createProblem(
   error: HollowstackError,
   requestId: string,
