--- a/packages/cli/src/commands/gateway/index.ts
+++ b/packages/cli/src/commands/gateway/index.ts
@@ -6,7 +6,7 @@
 } from '@hollowstack/gateway';
 import {
   BoundedEventLogger,
-  DEFAULT_LOG_BOUND,
+  DEFAULT_LOG_LIMITS,
   TslogEventLogger,
 } from '@hollowstack/logger';
 import {MetricsRegistry} from '@hollowstack/metrics';
@@ -80,7 +80,7 @@
     const logger = new BoundedEventLogger(
       new TslogEventLogger(instance.id, log.level, log.format),
       () => clock.getNow(),
-      DEFAULT_LOG_BOUND,
+      DEFAULT_LOG_LIMITS,
       () => process.stdout.writableLength,
     );
     const metrics = new MetricsRegistry();
--- a/packages/logger/src/bounded-event-logger.test.ts
+++ b/packages/logger/src/bounded-event-logger.test.ts
@@ -15,7 +15,7 @@
   }
 }
 
-test('lines stay within the bound, failures are left out last and all are counted', () => {
+test('a burst stays within the limit, warnings are dropped last and drops are counted', () => {
   let nowMs = 0;
   const target = new ListingLogger();
   const logger = new BoundedEventLogger(target, () => nowMs, {
@@ -40,7 +40,7 @@
   assert.equal(target.lines.at(-1)?.name, 'log.omitted');
 });
 
-test('a reader who does not keep up costs lines, never memory or time', () => {
+test('events are dropped and counted while the reader of the output lags behind', () => {
   let backlogBytes = 0;
   const target = new ListingLogger();
   const logger = new BoundedEventLogger(
--- a/packages/logger/src/bounded-event-logger.ts
+++ b/packages/logger/src/bounded-event-logger.ts
@@ -1,88 +1,92 @@
 import {EventLogger, type EventFields} from './event-logger.ts';
 import {EVENTS, type EventName} from './events.ts';
 
-/** How many lines may be written. */
-export interface LogBound {
+/** Limits on the number of log lines. */
+export interface LogLimits {
   readonly linesPerSecond: number;
-  /** Lines that may be saved up. */
+  /** Capacity of the token bucket, in lines. */
   readonly burst: number;
-  /** Bytes that may wait for a reader who does not keep up. */
+  /** Maximum number of written bytes that the reader has not consumed yet. */
   readonly backlogBytes: number;
 }
 
-/** Bound of a daemon: some 60 KB a second at most. */
-export const DEFAULT_LOG_BOUND: LogBound = {
+/** Limits of a daemon: at most about 60 KB per second. */
+export const DEFAULT_LOG_LIMITS: LogLimits = {
   linesPerSecond: 100,
   burst: 400,
   backlogBytes: 512 * 1024,
 };
 
-/** Lines of level `info` and below are left out once less than this is saved up. */
-const INFO_RESERVE = 0.5;
+/** Share of the burst below which events of level `info` and `debug` are dropped. */
+const INFO_RESERVE_SHARE = 0.5;
 
-function getNothing(): number {
+function getZero(): number {
   return 0;
 }
 
 /**
- * Passes events on up to a bound. Ordinary ones are left out before warnings
- * and errors; what was left out is told by kind once there is room again.
+ * Forwards events to another logger within a rate limit and a limit on unread bytes.
+ * Events of level `info` and `debug` are dropped before warnings and errors; the counts
+ * of dropped events are logged by event name once lines can be written again.
  */
 export class BoundedEventLogger extends EventLogger {
   private readonly target: EventLogger;
   private readonly getNow: () => number;
-  private readonly bound: LogBound;
+  private readonly limits: LogLimits;
   private readonly getBacklogBytes: () => number;
   private readonly omitted = new Map<EventName, number>();
-  private saved: number;
-  private filledAtMs: number;
+  private tokens: number;
+  private refilledAtMs: number;
 
-  /** @param getBacklogBytes Returns the bytes that were written and not read yet. */
+  /** @param getBacklogBytes Returns the number of bytes written but not yet read. */
   constructor(
     target: EventLogger,
     getNow: () => number,
-    bound: LogBound = DEFAULT_LOG_BOUND,
-    getBacklogBytes: () => number = getNothing,
+    limits: LogLimits = DEFAULT_LOG_LIMITS,
+    getBacklogBytes: () => number = getZero,
   ) {
     super();
     this.target = target;
     this.getNow = getNow;
-    this.bound = bound;
+    this.limits = limits;
     this.getBacklogBytes = getBacklogBytes;
-    this.saved = bound.burst;
-    this.filledAtMs = getNow();
+    this.tokens = limits.burst;
+    this.refilledAtMs = getNow();
   }
 
   logEvent(name: EventName, fields: EventFields = {}): void {
-    this.addAllowance();
-    const isFull = this.getBacklogBytes() >= this.bound.backlogBytes;
-    if (isFull || this.saved < this.computeNeed(name)) {
+    this.addTokens();
+    const isFull = this.getBacklogBytes() >= this.limits.backlogBytes;
+    if (isFull || this.tokens < this.computeRequiredTokens(name)) {
       this.omitted.set(name, (this.omitted.get(name) ?? 0) + 1);
       return;
     }
-    this.saved -= 1;
+    this.tokens -= 1;
     this.target.logEvent(name, fields);
     if (this.omitted.size > 0) this.logOmitted();
   }
 
-  private computeNeed(name: EventName): number {
+  private computeRequiredTokens(name: EventName): number {
     const {level} = EVENTS[name];
     const isFailure = level === 'warn' || level === 'error';
-    return isFailure ? 1 : Math.max(1, INFO_RESERVE * this.bound.burst);
+    return isFailure ? 1 : Math.max(1, INFO_RESERVE_SHARE * this.limits.burst);
   }
 
-  private addAllowance(): void {
+  private addTokens(): void {
     const nowMs = this.getNow();
-    const gained =
-      ((nowMs - this.filledAtMs) / 1000) * this.bound.linesPerSecond;
-    this.saved = Math.min(this.bound.burst, this.saved + Math.max(0, gained));
-    this.filledAtMs = nowMs;
+    const newTokens =
+      ((nowMs - this.refilledAtMs) / 1000) * this.limits.linesPerSecond;
+    this.tokens = Math.min(
+      this.limits.burst,
+      this.tokens + Math.max(0, newTokens),
+    );
+    this.refilledAtMs = nowMs;
   }
 
   private logOmitted(): void {
     const counts = Object.fromEntries(this.omitted);
     this.omitted.clear();
-    this.saved -= 1;
+    this.tokens -= 1;
     this.target.logEvent('log.omitted', counts);
   }
 }
--- a/packages/logger/src/event-logger.test.ts
+++ b/packages/logger/src/event-logger.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {TslogEventLogger} from './index.ts';
 
-test('a line tells what happened, when and where once', () => {
+test('a JSON line contains message, level, time, event and instance exactly once', () => {
   const lines: string[] = [];
   const logger = new TslogEventLogger('i-1', 'info', 'json', line =>
     lines.push(line),
@@ -25,7 +25,7 @@
   assert.equal(lines[1].includes('\n'), false);
 });
 
-test('lines below the level are left out', () => {
+test('events below the configured level are not logged', () => {
   const lines: string[] = [];
   const logger = new TslogEventLogger('i-1', 'warn', 'json', line =>
     lines.push(line),
--- a/packages/logger/src/event-logger.ts
+++ b/packages/logger/src/event-logger.ts
@@ -1,37 +1,37 @@
 import {Logger, type ILogObjMeta} from 'tslog';
 import {EVENTS, type EventName} from './events.ts';
 
-/** Levels at which logging can be set, the most talkative first. */
+/** Log levels, the most verbose first. */
 export const LOG_LEVELS = ['debug', 'info', 'warn', 'error'] as const;
 /** One log level. */
 export type LogLevel = (typeof LOG_LEVELS)[number];
-/** Output form: one JSON object a line, or lines for a person. */
+/** Output format: one JSON object per line, or human-readable lines. */
 export type LogFormat = 'json' | 'pretty';
 
-/** Fields that an event carries beside its number and text. */
+/** Fields that are logged with an event; undefined values are omitted. */
 export type EventFields = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
-/** Takes numbered events. */
+/** Logs numbered events. */
 export abstract class EventLogger {
   /** Logs one event of the catalogue. */
   abstract logEvent(name: EventName, fields?: EventFields): void;
 }
 
-/** Drops every event; for embedders and tests that want no logs. */
+/** Discards every event; for embedding programs and tests that want no logs. */
 export class SilentEventLogger extends EventLogger {
   logEvent(): void {}
 }
 
-/** Writes events to standard output by tslog. */
+/** Writes events to standard output with tslog. */
 export class TslogEventLogger extends EventLogger {
   private readonly logger: Logger<unknown>;
   private readonly instance: string;
 
   /**
-   * @param instance Name of the instance, set on every line.
-   * @param writeLine Takes the lines of the form `json`.
+   * @param instance Id of the instance, part of every line.
+   * @param writeLine Receives the lines if the format is `json`.
    */
   constructor(
     instance: string,
@@ -55,14 +55,14 @@
 
   logEvent(name: EventName, fields: EventFields = {}): void {
     const event = EVENTS[name];
-    const given = Object.entries(fields).filter(
+    const definedFields = Object.entries(fields).filter(
       ([, value]) => value !== undefined,
     );
     const record = {
       event: event.number,
       name,
       instance: this.instance,
-      ...Object.fromEntries(given),
+      ...Object.fromEntries(definedFields),
     };
     this.logger[event.level](event.text, record);
   }
@@ -72,8 +72,8 @@
   process.stdout.write(`${line}\n`);
 }
 
-// The library's own lines carry time, level and host a second time, which makes
-// a line of an ordinary event 200 bytes longer.
+// tslog's own JSON repeats time, level and host, which adds 200 bytes to an
+// ordinary line.
 function formatLine(record: ILogObjMeta): string {
   const {_logMeta: meta, 0: message, 1: fields} = record;
   return JSON.stringify({
--- a/packages/logger/src/events.test.ts
+++ b/packages/logger/src/events.test.ts
@@ -15,7 +15,7 @@
     .join('\n');
 }
 
-test('the page lists every event with its number, level and text', () => {
+test('docs/EVENTS.md lists every event with its number, level and text', () => {
   const page = readFileSync(new URL('docs/EVENTS.md', ROOT), 'utf8');
   const rows = [
     ...page.matchAll(/^\| (\d+) +\| `(.+?)` +\| (\w+) +\| (.+?) +\|/gm),
@@ -41,7 +41,7 @@
   assert.equal(new Set(numbers).size, numbers.length);
 });
 
-test('every event of the catalogue is logged somewhere', () => {
+test('every event of the catalogue is used in the sources', () => {
   const sources = readSources();
   const unused = events
     .map(([name]) => name)
--- a/packages/logger/src/index.ts
+++ b/packages/logger/src/index.ts
@@ -1,9 +1,9 @@
-/** Numbered log events and the writer that puts them out as JSON or readable lines. */
+/** Numbered log events and loggers that write them as JSON or human-readable lines. */
 export {EVENTS, type EventName, type EventDefinition} from './events.ts';
 export {
   BoundedEventLogger,
-  DEFAULT_LOG_BOUND,
-  type LogBound,
+  DEFAULT_LOG_LIMITS,
+  type LogLimits,
 } from './bounded-event-logger.ts';
 export {
   EventLogger,
