--- a/packages/metrics/src/index.ts
+++ b/packages/metrics/src/index.ts
@@ -1,3 +1,3 @@
-/** Latency histograms and counters, and their exposition as Prometheus text. */
+/** Latency histograms, counters and gauges, rendered in the Prometheus text format. */
 export {MetricsRegistry, type MetricLabels} from './registry.ts';
 export {LatencyHistogram, type LatencySummary} from './latency-histogram.ts';
--- a/packages/metrics/src/latency-histogram.ts
+++ b/packages/metrics/src/latency-histogram.ts
@@ -1,10 +1,10 @@
 import type {Histogram} from 'hdr-histogram-js';
-// The package's face also loads its log writer, which sets number formats up for
-// 25 ms of the 130 ms that a start of the binary takes (processor profile).
+// The package's main module also loads its log writer, whose number formats take
+// 25 ms to set up, of 130 ms for a start of the binary (processor profile).
 import {build} from 'hdr-histogram-js/dist/HistogramBuilder.js';
 
-// Microseconds up to ten minutes at two significant digits: 1 % error in a few
-// kilobytes, so that a histogram per workspace and class stays affordable.
+// Ten minutes, with two significant digits: 1 % error in a few kilobytes, so that
+// a histogram per workspace and class stays affordable.
 const HIGHEST_MICROSECONDS = 600_000_000;
 
 /** Percentiles of a histogram, in milliseconds. */
@@ -17,7 +17,7 @@
   readonly maxMs: number;
 }
 
-/** A histogram of durations given and returned in milliseconds. */
+/** A histogram of durations in milliseconds; percentiles are capped at ten minutes. */
 export class LatencyHistogram {
   private readonly histogram: Histogram = build({
     bitBucketSize: 'packed',
@@ -28,14 +28,14 @@
   });
   private sumMs = 0;
 
-  /** Adds one duration in milliseconds. */
+  /** Adds one duration; percentiles count negative ones as zero. */
   recordMs(durationMs: number): void {
     const microseconds = Math.round(Math.max(0, durationMs) * 1000);
     this.histogram.recordValue(Math.min(microseconds, HIGHEST_MICROSECONDS));
     this.sumMs += durationMs;
   }
 
-  /** Returns the duration in milliseconds below which `percent` of the values lie. */
+  /** Returns the percentile; `percent` is between 0 and 100. */
   getPercentileMs(percent: number): number {
     return this.histogram.getValueAtPercentile(percent) / 1000;
   }
--- a/packages/metrics/src/registry.ts
+++ b/packages/metrics/src/registry.ts
@@ -1,6 +1,6 @@
 import {LatencyHistogram} from './latency-histogram.ts';
 
-/** Label names and values of one series. */
+/** Labels of one series, by name. */
 export type MetricLabels = Readonly<Record<string, string>>;
 
 interface Series<Value> {
@@ -11,13 +11,13 @@
 
 const QUANTILES = [0.5, 0.9, 0.95, 0.99] as const;
 
-/** Holds the counters, gauges and histograms of one instance. */
+/** The counters, gauges and histograms of one instance. */
 export class MetricsRegistry {
   private readonly counters = new Map<string, Series<number>>();
   private readonly gauges = new Map<string, Series<() => number>>();
   private readonly histograms = new Map<string, Series<LatencyHistogram>>();
 
-  /** Adds to a counter; it begins at zero. */
+  /** Adds to a counter, which starts at zero. */
   addToCounter(name: string, labels: MetricLabels = {}, amount = 1): void {
     const key = formatSeries(name, labels);
     const series = this.counters.get(key);
@@ -25,12 +25,12 @@
     else this.counters.set(key, {name, labels, value: amount});
   }
 
-  /** Returns a counter's value, zero where nothing was counted. */
+  /** Returns a counter's value; zero if nothing was counted. */
   getCounter(name: string, labels: MetricLabels = {}): number {
     return this.counters.get(formatSeries(name, labels))?.value ?? 0;
   }
 
-  /** Sets the function that reads a gauge when it is asked for. */
+  /** Sets the function that returns a gauge's value when the metrics are rendered. */
   setGauge(name: string, labels: MetricLabels, readValue: () => number): void {
     this.gauges.set(formatSeries(name, labels), {
       name,
@@ -50,7 +50,7 @@
     series.value.recordMs(durationMs);
   }
 
-  /** Returns each histogram of a name with its labels. */
+  /** Returns all histograms of a name with their labels. */
   listHistograms(
     name: string,
   ): ReadonlyArray<{labels: MetricLabels; histogram: LatencyHistogram}> {
@@ -59,7 +59,7 @@
       .map(series => ({labels: series.labels, histogram: series.value}));
   }
 
-  /** Renders everything in the Prometheus text format; durations are in seconds. */
+  /** Renders all metrics in the Prometheus text format; durations are in seconds. */
   renderPrometheusText(): string {
     const lines: string[] = [];
     renderFamilies(lines, this.counters, 'counter', renderNumber);
@@ -73,11 +73,11 @@
 
 function renderFamilies<Value>(
   lines: string[],
-  all: ReadonlyMap<string, Series<Value>>,
+  seriesByKey: ReadonlyMap<string, Series<Value>>,
   type: string,
   renderSeries: (series: Series<Value>) => string[],
 ): void {
-  const sorted = [...all.values()].sort((left, right) =>
+  const sorted = [...seriesByKey.values()].sort((left, right) =>
     left.name < right.name ? -1 : left.name > right.name ? 1 : 0,
   );
   let lastName = '';
