--- a/packages/toml-file/src/renamed-settings.ts
+++ b/packages/toml-file/src/renamed-settings.ts
@@ -1,15 +1,15 @@
 import {HollowstackError} from '@hollowstack/errors';
 
-/** Settings that had another name in earlier versions: old name to new. */
+/** Names of settings in earlier versions, mapped to their current names. */
 const RENAMED_SETTINGS: ReadonlyMap<string, string> = new Map([
   ['zone', 'failureDomain'],
 ]);
 
 /**
- * Checks that no setting has a name of an earlier version, at any depth.
+ * Checks at any depth that no setting has a name of an earlier version.
  *
- * @param place Where the content stands in the file; empty for its top level.
- * @throws HollowstackError `configuration-invalid` that gives the new name.
+ * @param place Key path of the content in the file; empty for the top level.
+ * @throws HollowstackError `configuration-invalid` with the current name.
  */
 export function checkRenamedSettings(
   content: unknown,
@@ -18,14 +18,14 @@
 ): void {
   if (typeof content !== 'object' || content === null) return;
   for (const [key, value] of Object.entries(content)) {
-    const where = place === '' ? key : `${place}.${key}`;
-    const renamedTo = RENAMED_SETTINGS.get(key);
-    if (renamedTo !== undefined) {
+    const keyPath = place === '' ? key : `${place}.${key}`;
+    const currentName = RENAMED_SETTINGS.get(key);
+    if (currentName !== undefined) {
       throw new HollowstackError(
         'configuration-invalid',
-        `${path}: ${where}: this setting is called ${renamedTo} now`,
+        `${path}: ${keyPath}: this setting is called ${currentName} now`,
       );
     }
-    checkRenamedSettings(value, path, where);
+    checkRenamedSettings(value, path, keyPath);
   }
 }
--- a/packages/toml-file/src/toml-file.ts
+++ b/packages/toml-file/src/toml-file.ts
@@ -4,10 +4,10 @@
 import {checkRenamedSettings} from './renamed-settings.ts';
 
 /**
- * Parses TOML by a schema.
+ * Parses TOML and validates it against a schema.
  *
  * @param path Shown in errors.
- * @throws HollowstackError `configuration-invalid` with path and line or place.
+ * @throws HollowstackError `configuration-invalid` with the path and the line or key.
  */
 export function parseTomlFile<Schema extends z.ZodType>(
   text: string,
@@ -20,10 +20,10 @@
 }
 
 /**
- * Parses TOML as it is.
+ * Parses TOML without a schema.
  *
- * @throws HollowstackError `configuration-invalid` with the line, or with the new
- * name of a setting that was renamed.
+ * @throws HollowstackError `configuration-invalid` with the line, or with the current
+ * name of a renamed setting.
  */
 export function parseToml(text: string, path: string): unknown {
   try {
@@ -42,9 +42,9 @@
 }
 
 /**
- * Creates the error for content that a schema does not take, a line an issue.
+ * Creates the error for content that does not match a schema, with one line per issue.
  *
- * @param place Where in the file the content stands; empty for its top level.
+ * @param place Key path of the content in the file; empty for the top level.
  */
 export function createSchemaError(
   path: string,
@@ -52,8 +52,10 @@
   error: z.ZodError,
 ): HollowstackError {
   const lines = error.issues.map(issue => {
-    const where = [place, ...issue.path].filter(part => part !== '').join('.');
-    return `${path}: ${where || 'top level'}: ${issue.message}`;
+    const keyPath = [place, ...issue.path]
+      .filter(part => part !== '')
+      .join('.');
+    return `${path}: ${keyPath || 'top level'}: ${issue.message}`;
   });
   return new HollowstackError('configuration-invalid', lines.join('\n'), {
     cause: error,
