--- a/packages/transport/src/async-queue.ts
+++ b/packages/transport/src/async-queue.ts
@@ -1,4 +1,4 @@
-/** A queue between one writer and one reader; the reader iterates over it. */
+/** An unbounded queue with one reader, which iterates over the items. */
 export class AsyncQueue<Item> implements AsyncIterable<Item> {
   private readonly items: Item[] = [];
   private isEnded = false;
@@ -6,25 +6,25 @@
   private wakeReader: (() => void) | undefined;
   private readonly onReturn: (() => void) | undefined;
 
-  /** @param onReturn Called when the reader stops before the end. */
+  /** @param onReturn Called if the reader stops before the end. */
   constructor(onReturn?: () => void) {
     this.onReturn = onReturn;
   }
 
-  /** Adds an item; nothing happens once the queue has ended. */
+  /** Adds an item; ignored once the queue has ended. */
   push(item: Item): void {
     if (this.isEnded) return;
     this.items.push(item);
     this.resumeReader();
   }
 
-  /** Ends the queue; the reader still gets what is in it. */
+  /** Ends the queue; the reader still gets the remaining items. */
   end(): void {
     this.isEnded = true;
     this.resumeReader();
   }
 
-  /** Ends the queue with an error that the reader gets after the items. */
+  /** Ends the queue with an error, which the reader gets after the remaining items. */
   fail(error: unknown): void {
     if (this.isEnded) return;
     this.failure = error;
--- a/packages/transport/src/bearer-key.ts
+++ b/packages/transport/src/bearer-key.ts
@@ -1,8 +1,8 @@
 import {createHash, timingSafeEqual} from 'node:crypto';
 
 /**
- * Returns whether an `Authorization` header carries one of the keys as a bearer token.
- * Digests are compared, so that the time taken tells nothing of a key.
+ * Returns whether an `Authorization` header contains one of the keys as a bearer token.
+ * Compares digests in constant time, so that the duration reveals nothing about a key.
  */
 export function hasBearerKey(
   header: string | undefined,
--- a/packages/transport/src/check-connection.ts
+++ b/packages/transport/src/check-connection.ts
@@ -2,13 +2,13 @@
 import {splitAddress} from '@hollowstack/types';
 import {connect} from 'node:net';
 
-/** What an attempt to connect shows of the other side. */
+/** Outcome of an attempt to connect. */
 export type ConnectionState = 'accepted' | 'refused' | 'unanswered';
 
-/** Milliseconds for a connection to stand; some hundred round trips within a region. */
-const TIMEOUT_MS = 400;
+/** Time for a connection to be established; some hundred round trips within a region. */
+const CONNECT_TIMEOUT_MS = 400;
 
-/** Opens a connection and closes it again without a byte; never rejects. */
+/** Opens a connection and closes it without sending a byte; never rejects. */
 export function checkConnection(
   address: string,
   clock: Clock,
@@ -21,7 +21,9 @@
       socket.destroy();
       resolve(result);
     };
-    const timer = clock.schedule(TIMEOUT_MS, () => settle('unanswered'));
+    const timer = clock.schedule(CONNECT_TIMEOUT_MS, () =>
+      settle('unanswered'),
+    );
     socket.once('connect', () => settle('accepted'));
     socket.on('error', ({code}: NodeJS.ErrnoException) =>
       settle(code === 'ECONNREFUSED' ? 'refused' : 'unanswered'),
--- a/packages/transport/src/event-stream.ts
+++ b/packages/transport/src/event-stream.ts
@@ -1,10 +1,10 @@
 const DATA_PREFIX = 'data:';
-/** Byte of a space. */
-const SPACE = 32;
+/** Character code of a space. */
+const SPACE_CODE = 32;
 
 /**
- * Yields the data of server-sent events, all those of one chunk together, so
- * that a relay takes one step a chunk. Fields other than data are passed over.
+ * Yields the data of server-sent events. The events of one chunk are yielded together,
+ * so that a relay takes one step per chunk. Fields other than `data` are ignored.
  */
 export async function* readServerSentEvents(
   body: AsyncIterable<Uint8Array>,
@@ -23,7 +23,7 @@
   }
 }
 
-/** Encodes one server-sent event; `data` must hold no line end. */
+/** Encodes one server-sent event; `data` must not contain a line end. */
 export function encodeServerSentEvent(data: string, event?: string): Buffer {
   const head = event === undefined ? '' : `event: ${event}\n`;
   return Buffer.from(`${head}data: ${data}\n\n`);
@@ -40,5 +40,5 @@
 
 function readData(line: string): string {
   const start = DATA_PREFIX.length;
-  return line.slice(line.charCodeAt(start) === SPACE ? start + 1 : start);
+  return line.slice(line.charCodeAt(start) === SPACE_CODE ? start + 1 : start);
 }
--- a/packages/transport/src/http-exchange.ts
+++ b/packages/transport/src/http-exchange.ts
@@ -1,33 +1,33 @@
 import {HollowstackError} from '@hollowstack/errors';
 
-/** Header names in small letters, with their values. */
+/** Header values by lower-case name. */
 export type HttpHeaders = Readonly<Record<string, string>>;
 
-/** A request as its handler sees it. */
+/** An HTTP request, to be sent or received. */
 export interface HttpRequest {
   readonly method: string;
-  /** Path with its query. */
+  /** Path with query. */
   readonly path: string;
   readonly headers: HttpHeaders;
   readonly body: Uint8Array;
-  /** Aborts once the other side no longer wants the answer. */
+  /** Aborts once the caller no longer needs the answer. */
   readonly signal: AbortSignal;
 }
 
-/** An answer; its body may still be on its way. */
+/** An HTTP answer; its body may not have arrived yet. */
 export interface HttpResponse {
   readonly status: number;
   readonly headers: HttpHeaders;
   readonly body: AsyncIterable<Uint8Array>;
 }
 
-/** Answers one request. */
+/** Handles one request and resolves to its answer. */
 export type HttpHandler = (request: HttpRequest) => Promise<HttpResponse>;
 
-/** How far a request got: `none` promises that no byte of it has left. */
+/** `none` if no byte of a request was sent; `some` if a byte may have been sent. */
 export type SendProgress = 'none' | 'some';
 
-/** A request that brought no answer, or an answer that broke off. */
+/** A request got no answer, or its answer broke off. */
 export class TransportError extends Error {
   readonly progress: SendProgress;
 
@@ -41,15 +41,15 @@
 /** Sends requests to an address. */
 export abstract class HttpClient {
   /**
-   * Sends one request and resolves once the answer's head is there.
+   * Sends one request and resolves once the answer's head has arrived.
    *
-   * @param address IP number and port.
-   * @throws TransportError where no answer came; its `progress` says whether a byte may have left.
+   * @param address IP address and port.
+   * @throws TransportError if no answer arrives; its `progress` says whether a byte may have been sent.
    */
   abstract send(address: string, request: HttpRequest): Promise<HttpResponse>;
 }
 
-/** Creates a body of one text. */
+/** Creates a body from a text in UTF-8. */
 export async function* createTextBody(
   text: string,
 ): AsyncGenerator<Uint8Array> {
@@ -70,10 +70,10 @@
 }
 
 /**
- * Reads a whole body.
+ * Reads a body to its end.
  *
- * @param limitBytes Most bytes to take.
- * @throws HollowstackError `payload-too-large` over the limit.
+ * @param limitBytes Maximum size.
+ * @throws HollowstackError `payload-too-large` if the body exceeds the limit.
  */
 export async function readBody(
   body: AsyncIterable<Uint8Array>,
@@ -94,13 +94,13 @@
   return Buffer.concat(chunks);
 }
 
-/** Reads a whole body as JSON. */
+/** Reads the body of an answer as JSON, up to the default limit of `readBody`. */
 export async function readJson(response: HttpResponse): Promise<unknown> {
   const body = await readBody(response.body);
   return JSON.parse(body.toString('utf8'));
 }
 
-/** Sends a POST with a JSON body. */
+/** Sends a POST request with a JSON body. */
 export function sendJson(
   client: HttpClient,
   address: string,
--- a/packages/transport/src/index.ts
+++ b/packages/transport/src/index.ts
@@ -1,4 +1,4 @@
-/** HTTP requests and answers as data, a client and a server over Node's http. */
+/** HTTP requests and answers as data, with a client and a server over Node's http. */
 export {
   HttpClient,
   TransportError,
--- a/packages/transport/src/line-stream.ts
+++ b/packages/transport/src/line-stream.ts
@@ -1,4 +1,4 @@
-/** Splits a body into lines, without their ends; a last line without an end is dropped. */
+/** Yields the lines of a body without line ends; an unterminated last line is dropped. */
 export async function* readLines(
   body: AsyncIterable<Uint8Array>,
 ): AsyncGenerator<string> {
--- a/packages/transport/src/node-http-client.test.ts
+++ b/packages/transport/src/node-http-client.test.ts
@@ -7,16 +7,16 @@
 
 const TIMEOUT_MS = 200;
 
-/** A server whose open connections can fall silent while new ones work. */
+/** A server whose open connections can stop answering while new ones work. */
 async function startServer(t: TestContext) {
-  const silent = new Set<Socket>();
-  const open = new Set<Socket>();
+  const unresponsiveSockets = new Set<Socket>();
+  const openSockets = new Set<Socket>();
   const server = createServer((incoming, outgoing) => {
-    if (silent.has(incoming.socket)) return;
-    // Long enough that calls made together need a connection each.
+    if (unresponsiveSockets.has(incoming.socket)) return;
+    // Long enough that concurrent calls need separate connections.
     setTimeout(() => outgoing.end('answer'), 20);
   });
-  server.on('connection', socket => open.add(socket));
+  server.on('connection', socket => openSockets.add(socket));
   await new Promise<void>(resolve =>
     server.listen(0, '127.0.0.1', () => resolve()),
   );
@@ -38,17 +38,18 @@
     await readBody(answer.body);
     return answer.status;
   };
-  const silenceConnections = () => open.forEach(socket => silent.add(socket));
-  return {call, silenceConnections, countOpened: () => open.size};
+  const silenceConnections = () =>
+    openSockets.forEach(socket => unresponsiveSockets.add(socket));
+  return {call, silenceConnections, countOpened: () => openSockets.size};
 }
 
-test('connections are kept for the calls that follow', async t => {
+test('successive calls reuse one connection', async t => {
   const {call, countOpened} = await startServer(t);
   for (let round = 0; round < 3; round++) await call();
   assert.equal(countOpened(), 1);
 });
 
-test('after a kept connection fell silent, no other kept one is trusted', async t => {
+test('after an idle connection stops answering, no other idle one is reused', async t => {
   const {call, silenceConnections} = await startServer(t);
   await Promise.all([call(), call(), call()]);
   silenceConnections();
--- a/packages/transport/src/node-http-client.ts
+++ b/packages/transport/src/node-http-client.ts
@@ -9,7 +9,7 @@
   type SendProgress,
 } from './http-exchange.ts';
 
-/** The client over Node's http, with connections kept alive. */
+/** HTTP client over Node's http that keeps connections alive for later requests. */
 export class NodeHttpClient extends HttpClient {
   private readonly agent = new Agent({
     keepAlive: true,
@@ -39,8 +39,8 @@
       const stopListening = () =>
         request.signal.removeEventListener('abort', cancelRequest);
       request.signal.addEventListener('abort', cancelRequest, {once: true});
-      // A socket that is still connecting has taken no byte; one that was
-      // connected before, or is now, may have.
+      // No byte is sent while the socket is connecting; once it is connected, or
+      // if it is reused, bytes may have been sent.
       outgoing.once('socket', socket => {
         socket.setNoDelay(true);
         if (!socket.connecting) progress = 'some';
@@ -65,8 +65,8 @@
     this.agent.destroy();
   }
 
-  // What made one kept connection fail or fall silent has most likely met the
-  // others to that address: each would cost its next call a time-out.
+  // If one idle connection has failed or become unresponsive, the others to the
+  // same address most likely have too; each would cost its next call a time-out.
   private closeIdle(host: string, port: number): void {
     const name = this.agent.getName({host, port});
     const idle = this.agent.freeSockets[name] ?? [];
@@ -95,7 +95,7 @@
   }
 }
 
-/** Joins repeated headers, so that each name has one value. */
+/** Joins the values of repeated headers by commas, so that each name has one value. */
 export function joinHeaders(
   headers: NodeJS.Dict<string | string[]>,
 ): HttpHeaders {
--- a/packages/transport/src/node-http-server.ts
+++ b/packages/transport/src/node-http-server.ts
@@ -14,29 +14,27 @@
 } from './http-exchange.ts';
 import {joinHeaders} from './node-http-client.ts';
 
-/** Bounds on what a caller may send. */
+/** Limits on the requests of callers. */
 export interface HttpServerLimits {
-  /** Largest request body in bytes. */
+  /** Maximum size of a request body. */
   readonly bodyBytes: number;
-  /** Largest head in bytes. */
+  /** Maximum size of a request head. */
   readonly headerBytes: number;
-  /** Milliseconds within which a request must have arrived whole. */
+  /** Milliseconds within which a request must have arrived completely. */
   readonly receiveMs: number;
 }
 
-/**
- * Limits for callers that are known and trusted, such as stand-ins' clients.
- */
+/** Limits for known and trusted callers, such as the clients of stand-ins. */
 export const DEFAULT_SERVER_LIMITS: HttpServerLimits = {
   bodyBytes: 16 * 1024 * 1024,
   headerBytes: 16 * 1024,
   receiveMs: 30_000,
 };
 
-/** Milliseconds for which an idle connection of a caller is kept. */
+/** Milliseconds for which an idle connection of a caller is kept open. */
 const KEEP_ALIVE_MS = 60_000;
 
-/** Serves a handler over Node's http. */
+/** HTTP server over Node's http that passes requests to a handler. */
 export class NodeHttpServer {
   private readonly server: Server;
   private readonly handler: HttpHandler;
@@ -63,7 +61,7 @@
     );
   }
 
-  /** Starts listening; resolves to the address with the port in use. */
+  /** Starts listening; resolves to the address with the actual port. */
   listen(host: string, port: number): Promise<string> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -77,7 +75,7 @@
     });
   }
 
-  /** Closes connections that carry no request; the others close after their answer. */
+  /** Closes connections without a request; the others stay open for their answer. */
   closeIdleConnections(): void {
     this.server.closeIdleConnections();
   }
@@ -90,7 +88,7 @@
     });
   }
 
-  /** Cuts every connection at once. */
+  /** Stops listening and closes all connections at once, whatever they carry. */
   closeAllConnections(): void {
     this.server.close();
     this.server.closeAllConnections();
--- a/packages/transport/src/single-call.test.ts
+++ b/packages/transport/src/single-call.test.ts
@@ -5,7 +5,7 @@
 import {SystemClock} from '@hollowstack/clock';
 import {SingleCall} from './single-call.ts';
 
-/** A server that notes what it gets and answers each request with 200. */
+/** A server that records received bytes and answers each request with 200. */
 async function startServer(t: TestContext) {
   let received = '';
   const server = createServer(socket => {
@@ -38,7 +38,7 @@
   );
 }
 
-test('a call that may still be sent goes out once its connection stands', async t => {
+test('a call that may still be sent is sent once its connection is established', async t => {
   const {address, getReceived} = await startServer(t);
   const call = createCall(address, () => true);
   const head = await call.response;
@@ -46,7 +46,7 @@
   assert.match(getReceived(), /^POST \/x[^]*body$/);
 });
 
-test('no byte leaves of a call that may no longer be sent when its connection stands', async t => {
+test('a call that may no longer be sent when its connection is established sends no byte', async t => {
   const {address, getReceived} = await startServer(t);
   const call = createCall(address, () => false);
   await assert.rejects(call.response, {progress: 'none'});
--- a/packages/transport/src/single-call.ts
+++ b/packages/transport/src/single-call.ts
@@ -7,28 +7,28 @@
 } from 'node:http';
 import {TransportError, type SendProgress} from './http-exchange.ts';
 
-/** A request to be sent as it is. */
+/** A request that is sent without changes to its headers. */
 export interface SingleCallRequest {
   readonly address: string;
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn, in the order and spelling to be sent. */
+  /** Alternating names and values, in the order and spelling in which they are sent. */
   readonly headers: readonly string[];
-  /** Absent where the request has no body. */
+  /** Undefined if the request has no body. */
   readonly body: Buffer | undefined;
-  /** Milliseconds within which the connection must stand. */
+  /** Milliseconds within which the connection must be established. */
   readonly connectTimeoutMs: number;
   /**
-   * Asked once the connection stands, before the first byte leaves: whoever the
-   * call was meant for may have said meanwhile that it takes no more.
+   * Called once the connection is established, before the first byte is sent: the
+   * upstream may have announced in the meantime that it accepts no more calls.
    */
   readonly mayStillSend?: () => boolean;
 }
 
 /**
- * One request on a connection of its own. No other request ever shares the
- * connection, so that bytes after the answer can belong to nobody, and an idle
- * connection that was closed can cost nobody its one send.
+ * One request on a connection of its own. Since the connection is never shared, bytes
+ * after the answer cannot be taken for another request's answer, and no request that
+ * may be sent only once is lost on an idle connection that was closed.
  */
 export class SingleCall {
   /** Resolves with the head of the answer; rejects with a TransportError. */
@@ -55,7 +55,7 @@
     });
     this.outgoing.once('socket', socket => {
       socket.setNoDelay(true);
-      // Registered before Node's own listener, which writes what is waiting.
+      // Registered before Node's own listener, which writes the buffered request.
       socket.once('connect', () => {
         timer.cancel();
         if (request.mayStillSend?.() === false) {
@@ -67,7 +67,8 @@
     });
     this.response = new Promise((resolve, reject) => {
       this.outgoing.once('response', incoming => {
-        // Errors of the body reach its reader; a reader may be gone by then.
+        // The body's reader handles its errors; without a reader, an unhandled
+        // 'error' event would end the process.
         incoming.on('error', () => {});
         this.incoming = incoming;
         resolve(incoming);
@@ -86,7 +87,7 @@
     this.outgoing.end(request.body);
   }
 
-  /** Returns whether a byte of the request may have left. */
+  /** Returns whether a byte of the request may have been sent. */
   mayHaveBeenSent(): boolean {
     return this.progress !== 'none';
   }
@@ -96,20 +97,20 @@
     return this.isCancelled;
   }
 
-  /** Closes the connection at once. */
+  /** Closes the connection immediately. */
   cancel(reason: string): void {
     this.isCancelled = true;
-    // An error nobody reads still costs its stack trace: 3 % of a streamed
-    // request's processor time (profile of the first 75 of a process).
-    const isOver = this.incoming?.complete === true;
-    this.outgoing.destroy(isOver ? undefined : new Error(reason));
+    // After a complete answer no error is needed; its stack trace alone took 3 %
+    // of the processor time of a streamed request (first 75 of a process).
+    const isComplete = this.incoming?.complete === true;
+    this.outgoing.destroy(isComplete ? undefined : new Error(reason));
   }
 }
 
 /**
- * Reads the whole body of an answer.
+ * Reads the body of an answer to its end.
  *
- * @throws TransportError where it breaks off or is larger than `maxBytes`.
+ * @throws TransportError if the body breaks off or is larger than `maxBytes`.
  */
 export async function readWholeBody(
   incoming: IncomingMessage,
@@ -133,54 +134,57 @@
   return Buffer.concat(chunks, size);
 }
 
-/** Codes of errors by which the system tells that the other side closed a connection. */
-const LOST_CODES: ReadonlySet<string> = new Set(['ECONNRESET', 'EPIPE']);
+/** Error codes of the system for a connection that the other side closed. */
+const CONNECTION_LOST_CODES: ReadonlySet<string> = new Set([
+  'ECONNRESET',
+  'EPIPE',
+]);
 
 /**
  * Returns whether a call failed because its connection ended before the answer was
- * whole. False for bytes that are no answer, and for what this side ended itself.
+ * complete. False for malformed answers and for calls that this side cancelled.
  */
 export function isConnectionLost(error: unknown): boolean {
   if (!(error instanceof Error)) return false;
   const {code} = error as NodeJS.ErrnoException;
-  if (code !== undefined) return LOST_CODES.has(code);
+  if (code !== undefined) return CONNECTION_LOST_CODES.has(code);
   return isConnectionLost(error.cause);
 }
 
-/** Returns whether a call failed because nobody listens at the address. */
+/** Returns whether a call failed because no process listens at the address. */
 export function isConnectionRefused(error: unknown): boolean {
   if (!(error instanceof Error)) return false;
   const {code} = error as NodeJS.ErrnoException;
   return code === 'ECONNREFUSED' || isConnectionRefused(error.cause);
 }
 
-/** Bounds of a call whose answer is read whole. */
+/** Limits of a call whose answer is read completely. */
 export interface WholeCallLimits {
-  /** Milliseconds for the whole answer. */
+  /** Milliseconds until the answer must be complete. */
   readonly timeoutMs: number;
   readonly maxBytes: number;
   /** Closes the connection once it aborts. */
   readonly signal?: AbortSignal;
 }
 
-/** An answer that was read whole. */
+/** An answer that was read completely. */
 export interface WholeAnswer {
   readonly head: IncomingMessage;
   readonly body: Buffer;
 }
 
-/** A call brought no whole answer in its time. */
+/** A call got no complete answer within its time-out. */
 export class AnswerTimeoutError extends TransportError {
   constructor(progress: SendProgress) {
     super('no answer in time', progress);
-    this.name = 'LateAnswerError';
+    this.name = 'AnswerTimeoutError';
   }
 }
 
 /**
- * Sends one request on a connection of its own and reads the whole answer.
+ * Sends one request on a connection of its own and reads the answer completely.
  *
- * @throws LateAnswerError where its time runs out, else a TransportError.
+ * @throws AnswerTimeoutError on a time-out; TransportError on any other failure.
  */
 export async function callForWholeAnswer(
   request: SingleCallRequest,
@@ -188,9 +192,9 @@
   limits: WholeCallLimits,
 ): Promise<WholeAnswer> {
   const call = new SingleCall(request, clock);
-  let isLate = false;
+  let hasTimedOut = false;
   const timer = clock.schedule(limits.timeoutMs, () => {
-    isLate = true;
+    hasTimedOut = true;
     call.cancel('no answer in time');
   });
   const cancelCall = () => call.cancel('given up');
@@ -201,7 +205,7 @@
     const body = await readWholeBody(head, limits.maxBytes);
     return {head, body};
   } catch (error) {
-    if (!isLate) throw error;
+    if (!hasTimedOut) throw error;
     throw new AnswerTimeoutError(call.mayHaveBeenSent() ? 'some' : 'none');
   } finally {
     timer.cancel();
