--- a/packages/log-report/src/index.ts
+++ b/packages/log-report/src/index.ts
@@ -1,4 +1,4 @@
-/** Tables made from the log of gateways. */
+/** Parses the logs of gateways and summarizes them in tables. */
 export {
   parseLog,
   type ParsedLog,
--- a/packages/log-report/src/log-lines.ts
+++ b/packages/log-report/src/log-lines.ts
@@ -12,7 +12,7 @@
   firstMs: z.number().optional(),
   objectiveMs: z.number(),
 });
-/** A request that has its answer. */
+/** Log line of a request that has ended. */
 export type SettledLine = z.infer<typeof settledSchema>;
 
 const stageCallSchema = z.object({
@@ -25,7 +25,7 @@
   noRoom: z.number(),
   inputGone: z.number(),
 });
-/** A call to an upstream of a stage service. */
+/** Log line of a call to an upstream of a stage service. */
 export type StageCallLine = z.infer<typeof stageCallSchema>;
 
 const lineSchema = z.discriminatedUnion('name', [
@@ -33,18 +33,19 @@
   stageCallSchema,
 ]);
 
-/** What a log holds that reports are made from. */
+/** The lines of a log that reports are made from. */
 export interface ParsedLog {
   readonly settled: readonly SettledLine[];
   readonly stageCalls: readonly StageCallLine[];
-  /** Lines that are no log lines, or not whole. */
+  /** Number of lines that are not log lines or are truncated. */
   readonly unreadableCount: number;
 }
 
 /**
- * Parses a log. A collector may have put a prefix before each line's object.
+ * Parses a log of JSON lines, each possibly after a prefix added by a log collector.
  *
- * @throws HollowstackError `bad-request` where no line can be read.
+ * @param path Shown in errors.
+ * @throws HollowstackError `bad-request` if no line can be parsed.
  */
 export function parseLog(text: string, path: string): ParsedLog {
   const settled: SettledLine[] = [];
@@ -77,7 +78,7 @@
   try {
     return JSON.parse(line.slice(start));
   } catch {
-    // Counted by the caller: a log may end in the middle of a line.
+    // The caller counts such lines: a log may end in the middle of a line.
     return undefined;
   }
 }
--- a/packages/log-report/src/log-report.test.ts
+++ b/packages/log-report/src/log-report.test.ts
@@ -5,16 +5,16 @@
 
 const START_MS = Date.parse('2026-12-02T10:00:00.000Z');
 
-function createLine(atMs: number, fields: Record<string, unknown>): string {
+function createLogLine(atMs: number, fields: Record<string, unknown>): string {
   const time = new Date(START_MS + atMs).toISOString();
   return JSON.stringify({time, ...fields});
 }
 
-function createSettled(
+function createSettledLine(
   atMs: number,
   fields: Record<string, unknown> = {},
 ): string {
-  return createLine(atMs, {
+  return createLogLine(atMs, {
     name: 'request.settled',
     route: 'summary',
     service: 'engines',
@@ -28,19 +28,19 @@
 }
 
 const LOG = [
-  createSettled(500),
-  createSettled(3000, {firstMs: 1400, tookMs: 2000}),
-  `collector-prefix ${createSettled(2500, {
+  createSettledLine(500),
+  createSettledLine(3000, {firstMs: 1400, tookMs: 2000}),
+  `collector-prefix ${createSettledLine(2500, {
     outcome: 'overloaded',
     reason: 'predicted 1234 ms, objective in 990 ms',
     tookMs: 5,
   })}`,
-  createSettled(2600, {
+  createSettledLine(2600, {
     outcome: 'overloaded',
     reason: 'predicted 1300 ms, objective in 995 ms',
     tookMs: 5,
   }),
-  createLine(1400, {
+  createLogLine(1400, {
     name: 'stage.call',
     service: 'encode',
     upstream: 'e1',
@@ -49,22 +49,22 @@
     noRoom: 1,
     inputGone: 0,
   }),
-  createLine(1500, {name: 'entry.ready'}),
+  createLogLine(1500, {name: 'entry.ready'}),
   '{"name":"request.settled","ti',
 ].join('\n');
 
-test('a log becomes tables by route, reason and stage service', t => {
+test('a log is summarized in tables by route, reason and stage service', t => {
   const report = assembleReport(parseLog(LOG, 'a.log'), 2);
   t.assert.snapshot(renderReport(report));
 });
 
-test('a line that is cut off is counted, and the rest is read', () => {
+test('a truncated line is counted, and the other lines are parsed', () => {
   const log = parseLog(LOG, 'a.log');
   assert.equal(log.unreadableCount, 1);
   assert.equal(log.settled.length, 4);
 });
 
-test('a file that is no log gets an error that says what to give', () => {
+test('a file that is not a log is rejected with an error that names the file', () => {
   assert.throws(
     () => parseLog('not a log\n', 'notes.txt'),
     (error: unknown) =>
--- a/packages/log-report/src/log-report.ts
+++ b/packages/log-report/src/log-report.ts
@@ -1,42 +1,42 @@
 import type {ParsedLog, SettledLine} from './log-lines.ts';
 
-/** What became of the requests of a route that arrived in one window. */
+/** Outcomes of the requests of a route that arrived in one time window. */
 export interface RouteRow {
   /** Seconds from the first arrival in the log to the start of the window. */
   readonly fromSecond: number;
   readonly route: string;
-  /** First bytes within the objective. */
+  /** Requests whose first bytes were sent within the objective. */
   readonly inTime: number;
   readonly late: number;
-  /** Refused for want of capacity. */
+  /** Requests that were rejected for lack of capacity. */
   readonly refused: number;
   readonly failed: number;
 }
 
-/** Requests of a route that were not answered, by their reason. */
+/** Number of requests of a route that were not answered for one reason. */
 export interface ReasonRow {
   readonly route: string;
   readonly outcome: string;
-  /** The reason with its numbers and ids left out. */
+  /** The reason, with placeholders for numbers and ids. */
   readonly reason: string;
   readonly count: number;
 }
 
-/** Calls to the upstreams of one stage service in one window. */
+/** Calls to the upstreams of one stage service in one time window. */
 export interface ServiceRow {
   readonly fromSecond: number;
   readonly service: string;
   readonly calls: number;
   readonly items: number;
-  /** Upstreams that were at work at a time, on average. */
+  /** Average number of upstreams that were busy at the same time. */
   readonly busyUpstreams: number;
-  /** Items that an upstream had no memory for. */
+  /** Items that an upstream rejected for lack of memory. */
   readonly noRoom: number;
-  /** Items whose inputs were gone. */
+  /** Items whose inputs no longer existed. */
   readonly inputGone: number;
 }
 
-/** Tables made from a log. */
+/** Summary tables of a log. */
 export interface LogReport {
   readonly requestCount: number;
   readonly unreadableCount: number;
@@ -45,12 +45,11 @@
   readonly services: readonly ServiceRow[];
 }
 
-type Fate = 'inTime' | 'late' | 'refused' | 'failed';
+type RequestOutcome = 'inTime' | 'late' | 'refused' | 'failed';
 
-/** Milliseconds in a second. */
 const MS_PER_SECOND = 1000;
 
-/** Assembles the tables of a log. @param windowSeconds Length of a window. */
+/** Summarizes a log in tables. @param windowSeconds Length of a time window. */
 export function assembleReport(
   log: ParsedLog,
   windowSeconds: number,
@@ -58,24 +57,24 @@
   const arrivals = log.settled.map(getArrivalMs);
   const calls = log.stageCalls.map(({time, tookMs}) => toMs(time) - tookMs);
   const startMs = Math.min(...arrivals, ...calls);
-  const getWindow = (ms: number) =>
+  const getWindowStart = (ms: number) =>
     Math.floor((ms - startMs) / MS_PER_SECOND / windowSeconds) * windowSeconds;
   return {
     requestCount: log.settled.length,
     unreadableCount: log.unreadableCount,
-    routes: listRouteRows(log, getWindow),
+    routes: listRouteRows(log, getWindowStart),
     reasons: listReasons(log.settled),
-    services: listServiceRows(log, getWindow, windowSeconds),
+    services: listServiceRows(log, getWindowStart, windowSeconds),
   };
 }
 
 function listRouteRows(
   log: ParsedLog,
-  getWindow: (ms: number) => number,
+  getWindowStart: (ms: number) => number,
 ): RouteRow[] {
-  const rows = new Map<string, RouteRow & Record<Fate, number>>();
+  const rows = new Map<string, RouteRow & Record<RequestOutcome, number>>();
   for (const line of log.settled) {
-    const fromSecond = getWindow(getArrivalMs(line));
+    const fromSecond = getWindowStart(getArrivalMs(line));
     const key = `${line.route}/${fromSecond}`;
     const row = rows.get(key) ?? {
       fromSecond,
@@ -85,8 +84,8 @@
       refused: 0,
       failed: 0,
     };
-    const fate = judgeFate(line);
-    rows.set(key, {...row, [fate]: row[fate] + 1});
+    const requestOutcome = judgeOutcome(line);
+    rows.set(key, {...row, [requestOutcome]: row[requestOutcome] + 1});
   }
   return [...rows.values()].sort(
     (left, right) =>
@@ -95,7 +94,7 @@
   );
 }
 
-function judgeFate(line: SettledLine): Fate {
+function judgeOutcome(line: SettledLine): RequestOutcome {
   if (line.outcome === 'overloaded') return 'refused';
   if (line.outcome !== 'answered') return 'failed';
   const firstMs = line.firstMs ?? line.tookMs;
@@ -114,7 +113,7 @@
   return [...rows.values()].sort((left, right) => right.count - left.count);
 }
 
-// Reasons that differ only in a figure or an id are one reason.
+// Reasons that differ only in numbers or ids are counted as one.
 function formatReason(reason: string): string {
   return reason
     .replace(/\b(?=[0-9a-z]*\d)[0-9a-z]{6,}\b/g, '#')
@@ -123,12 +122,12 @@
 
 function listServiceRows(
   log: ParsedLog,
-  getWindow: (ms: number) => number,
+  getWindowStart: (ms: number) => number,
   windowSeconds: number,
 ): ServiceRow[] {
   const rows = new Map<string, ServiceRow>();
   for (const call of log.stageCalls) {
-    const fromSecond = getWindow(toMs(call.time) - call.tookMs);
+    const fromSecond = getWindowStart(toMs(call.time) - call.tookMs);
     const key = `${call.service}/${fromSecond}`;
     const row = rows.get(key);
     const busy = call.tookMs / MS_PER_SECOND / windowSeconds;
--- a/packages/log-report/src/render-report.ts
+++ b/packages/log-report/src/render-report.ts
@@ -1,9 +1,9 @@
 import type {LogReport, ReasonRow, RouteRow, ServiceRow} from './log-report.ts';
 
-/** Reasons that are shown; the rest are rare. */
+/** Maximum number of reasons shown; the most frequent ones come first. */
 const MAX_REASONS = 12;
 
-/** Renders the tables of a log as text. */
+/** Renders the summary tables of a log as text. */
 export function renderReport(report: LogReport): string {
   const lines = [`${report.requestCount} requests`];
   if (report.unreadableCount > 0) {
