--- a/packages/cli/src/command-line.test.ts
+++ b/packages/cli/src/command-line.test.ts
@@ -7,13 +7,16 @@
 
 const MAIN = fileURLToPath(new URL('./main.ts', import.meta.url));
 
-interface Ended {
+interface CommandResult {
   readonly args: string;
   readonly exitCode: number;
   readonly output: string;
 }
 
-function runMain(args: readonly string[], folder: string): Promise<Ended> {
+function runMain(
+  args: readonly string[],
+  folder: string,
+): Promise<CommandResult> {
   return new Promise(resolve => {
     const options = {cwd: folder, env: {...process.env, NO_COLOR: '1'}};
     execFile(
@@ -28,7 +31,7 @@
   });
 }
 
-test('each wrong call ends with one error that says what to do, and its exit code', async t => {
+test('each invalid call prints one error with the next step and returns its exit code', async t => {
   const folder = mkdtempSync(join(tmpdir(), 'hollowstack-cli-'));
   t.after(() => rmSync(folder, {recursive: true, force: true}));
   writeFileSync(join(folder, 'broken.toml'), '[[pool]\n');
@@ -50,8 +53,8 @@
     ['entry', '--settings', 'settings.toml', '--check'],
     ['load', 'scenario.toml'],
   ];
-  const ended = await Promise.all(calls.map(call => runMain(call, folder)));
-  t.assert.snapshot(ended);
+  const results = await Promise.all(calls.map(call => runMain(call, folder)));
+  t.assert.snapshot(results);
   const unknown = await runMain(['config', 'check', '--fast', 'x'], folder);
   t.assert.equal(unknown.exitCode, 1);
   t.assert.match(unknown.output, /Unsupported option name \("--fast"\)/);
--- a/packages/cli/src/commands/config/check.ts
+++ b/packages/cli/src/commands/config/check.ts
@@ -6,16 +6,16 @@
 import {readTextFile} from '../../read-text-file.ts';
 import {ReportingCommand} from '../../reporting-command.ts';
 
-/** `hollowstack config check`: checks a file by itself. */
+/** `hollowstack config check`: checks a configuration file without an instance. */
 export class ConfigCheckCommand extends ReportingCommand {
   static override paths = [['config', 'check']];
   static override usage = Command.Usage({
     category: 'Configuration',
-    description: 'check a configuration file as a whole',
+    description: 'check a configuration file',
     details: `
-      Reads the file alone, without any instance: a name that is only in the
-      published configuration counts as missing. The exit code is 0 where the
-      file holds together, 1 where it does not, 2 where it cannot be read.
+      Checks the file on its own, without an instance: a name that exists only
+      in the published configuration counts as missing. The exit code is 0 if
+      the file is consistent, 1 if it is not, and 2 if it cannot be parsed.
     `,
     examples: [['Check a file', 'hollowstack config check pipelines.toml']],
   });
@@ -33,7 +33,7 @@
     const findings = checkConfiguration(objects);
     if (this.json) this.print(JSON.stringify({findings}, undefined, 2));
     else if (findings.length === 0) {
-      this.print(`${this.file}: ${objects.length} objects hold together`);
+      this.print(`${this.file}: ${objects.length} objects are consistent`);
     }
     if (!this.json) {
       for (const {place, message, advice} of findings) {
--- a/packages/cli/src/commands/config/history.ts
+++ b/packages/cli/src/commands/config/history.ts
@@ -5,12 +5,12 @@
 
 const historySchema = z.object({changes: z.array(changeRecordSchema)});
 
-/** `hollowstack config history`: who changed what, and when. */
+/** `hollowstack config history`: lists published changes with author and time. */
 export class ConfigHistoryCommand extends OperatorCommand {
   static override paths = [['config', 'history']];
   static override usage = Command.Usage({
     category: 'Configuration',
-    description: 'print the published changes, the newest first',
+    description: 'list the published changes, the newest first',
     examples: [['See who changed what', 'hollowstack config history']],
   });
 
--- a/packages/cli/src/commands/config/publish.ts
+++ b/packages/cli/src/commands/config/publish.ts
@@ -8,19 +8,19 @@
 import {OperatorCommand} from '../../operator-command.ts';
 import {readTextFile} from '../../read-text-file.ts';
 
-/** `hollowstack config publish`: adds and replaces objects. */
+/** `hollowstack config publish`: adds, replaces and removes objects. */
 export class ConfigPublishCommand extends OperatorCommand {
   static override paths = [['config', 'publish']];
   static override usage = Command.Usage({
     category: 'Configuration',
     description: 'publish the objects of a file',
     details: `
-      Objects of the file are added or replaced in one step; others stay. Where
-      another operator has changed one of them since the file's baseRevision,
-      nothing is published and the other change is named.
+      Adds or replaces the objects of the file in one step; other objects stay.
+      If another operator has changed one of them since the file's baseRevision,
+      nothing is published and the error names the other change.
 
-      Should the answer be lost, run the same command with the change id that
-      was printed: it publishes once, however often it is run.
+      If the answer is lost, repeat the command with --change-id and the printed
+      change id: a change id is published at most once.
     `,
     examples: [
       ['Publish a file', 'hollowstack config publish pipelines.toml'],
@@ -36,10 +36,10 @@
     description: 'id of an object to remove, such as pool/encoders',
   });
   author = Option.String('--author', {
-    description: 'name for the history; the login name where it is left out',
+    description: 'name for the history; defaults to the login name',
   });
   changeId = Option.String('--change-id', {
-    description: 'id of an earlier try whose answer was lost',
+    description: 'change id of an earlier attempt whose answer was lost',
   });
 
   protected async runCommand(): Promise<number> {
@@ -64,7 +64,7 @@
 
 function formatPublished({revision, changed}: PublishResult): string {
   if (changed.length === 0) {
-    return `nothing to change; revision ${revision} stays in force`;
+    return `no changes; revision ${revision} stays in force`;
   }
   return `revision ${revision}: ${changed.join(', ')}`;
 }
--- a/packages/cli/src/commands/config/restore.ts
+++ b/packages/cli/src/commands/config/restore.ts
@@ -4,7 +4,7 @@
 import {Command, Option} from 'clipanion';
 import {OperatorCommand} from '../../operator-command.ts';
 
-/** `hollowstack config restore`: writes what is in force back to the service. */
+/** `hollowstack config restore`: restores the configuration in force to the service. */
 export class ConfigRestoreCommand extends OperatorCommand {
   static override paths = [['config', 'restore']];
   static override usage = Command.Usage({
@@ -12,15 +12,15 @@
     description:
       "write the configuration in force back to the platform's service",
     details: `
-      For after the service was itself restored from an older backup. Instances
-      keep the newer configuration in force; this writes it back as a new
-      revision above both.
+      Use this after the service was restored from an older backup. Instances
+      keep the newer configuration in force; this command writes it back as a
+      new revision that is higher than both.
     `,
     examples: [['After a restore', 'hollowstack config restore']],
   });
 
   author = Option.String('--author', {
-    description: 'name for the history; the login name where it is left out',
+    description: 'name for the history; defaults to the login name',
   });
 
   protected async runCommand(): Promise<number> {
--- a/packages/cli/src/commands/config/show.ts
+++ b/packages/cli/src/commands/config/show.ts
@@ -3,15 +3,15 @@
 import {Command} from 'clipanion';
 import {OperatorCommand} from '../../operator-command.ts';
 
-/** `hollowstack config show`: the configuration in force. */
+/** `hollowstack config show`: prints the configuration in force. */
 export class ConfigShowCommand extends OperatorCommand {
   static override paths = [['config', 'show']];
   static override usage = Command.Usage({
     category: 'Configuration',
-    description: 'print the configuration in force as a file to edit',
+    description: 'print the configuration in force as an editable file',
     details: `
-      The file carries its baseRevision, by which publish notices what others
-      have changed meanwhile.
+      The file contains its baseRevision, from which publish detects changes
+      that others have made in the meantime.
     `,
     examples: [['Edit it', 'hollowstack config show > pipelines.toml']],
   });
--- a/packages/cli/src/commands/demo/expected-text.ts
+++ b/packages/cli/src/commands/demo/expected-text.ts
@@ -1,17 +1,17 @@
 import {computeChatAnswer, computeCompletion} from '@hollowstack/stand-ins';
 
 const MODEL = 'assistant';
-/** Tokens of the demo's chat answer, as its stand-in makes them. */
+/** Number of tokens in the demo's chat answer. */
 const CHAT_TOKENS = 24;
-/** Tokens of the demo's summary, as its stand-in makes them. */
+/** Number of tokens in the demo's summary. */
 const SUMMARY_TOKENS = 120;
 
-/** Computes what the sample's chat pipeline must answer. */
+/** Computes the expected answer of the sample's chat pipeline. */
 export function computeChatText(input: string): string {
   return computeChatAnswer(MODEL, input, CHAT_TOKENS);
 }
 
-/** Computes what the sample's summary pipeline must answer. */
+/** Computes the expected answer of the sample's summary pipeline. */
 export function computeSummaryText(input: string): string {
   return computeCompletion(MODEL, input, SUMMARY_TOKENS);
 }
--- a/packages/cli/src/commands/demo/index.ts
+++ b/packages/cli/src/commands/demo/index.ts
@@ -22,15 +22,15 @@
 const CHAT_INPUT = 'Can I donate again next Tuesday in Miraflores?';
 const SUMMARY_INPUT = 'Deferral history: low iron in March, travel in May.';
 
-/** `hollowstack demo`: a whole system in this process, tried once. */
+/** `hollowstack demo`: runs a complete system in this process and checks its answers. */
 export class DemoCommand extends ReportingCommand {
   static override paths = [['demo']];
   static override usage = Command.Usage({
-    description: 'run a whole system in this process and send it requests',
+    description: 'run a complete system in this process and send it requests',
     details: `
-      Two instances, the platform's service, pools, engines and a booking
-      service run over loopback sockets. The exit code is 0 where each answer is
-      the right one.
+      Runs two instances, the platform's service, pools, engines and a booking
+      service over loopback sockets. The exit code is 0 if all answers are
+      correct.
     `,
   });
 
@@ -50,20 +50,20 @@
       await system.start();
       await system.publish();
       await system.waitUntilReady();
-      await this.runScenes(system);
+      await this.runSteps(system);
     } finally {
       await system.stop();
     }
-    this.print(this.failures === 0 ? 'all answers are right' : 'FAILED');
+    this.print(this.failures === 0 ? 'all answers are correct' : 'FAILED');
     return this.failures === 0 ? 0 : 1;
   }
 
-  private async runScenes(system: LocalSystem): Promise<void> {
+  private async runSteps(system: LocalSystem): Promise<void> {
     const caller = system.createCaller(system.instances[0]);
     const chat = await this.runChat(caller);
     await this.runSummary(caller);
     await this.runBooking(system, caller);
-    await this.runRefused(caller);
+    await this.runRefusedChat(caller);
     const other = system.createCaller(system.instances[1]);
     await this.runWhy(other, chat);
   }
@@ -95,7 +95,7 @@
     system: LocalSystem,
     caller: SystemCaller,
   ): Promise<void> {
-    this.print('A booking, sent twice under one idempotency key:');
+    this.print('A booking, sent twice with one idempotency key:');
     const booking = {donor: 'd-118', slot: '2026-12-08T09:30'};
     const send = () =>
       caller.send(
@@ -115,7 +115,7 @@
     this.check(runs === 1 && second.status === first.status, 'booking');
   }
 
-  private async runRefused(caller: SystemCaller): Promise<void> {
+  private async runRefusedChat(caller: SystemCaller): Promise<void> {
     this.print('A chat turn whose deadline no upstream can meet:');
     const answer = await caller.runPipeline('lima-centro', 'chat', CHAT_INPUT, {
       'hollowstack-deadline-ms': '5',
@@ -128,7 +128,9 @@
   }
 
   private async runWhy(caller: SystemCaller, requestId: string): Promise<void> {
-    this.print('Why, asked of the other instance:');
+    this.print(
+      'The decisions about the chat turn, asked of the other instance:',
+    );
     const answer = await caller.callOperator('GET', `why/${requestId}`);
     this.check(answer.status === 200, 'why');
     if (answer.status !== 200) return;
@@ -150,15 +152,15 @@
 
   private printProblem({status, problem}: CallerAnswer): void {
     this.print(
-      `  status ${status}: ${problem?.kind}, ran: ${problem?.ran}, come back in ${problem?.retryAfterMs} ms`,
+      `  status ${status}: ${problem?.kind}, ran: ${problem?.ran}, retry after ${problem?.retryAfterMs} ms`,
     );
     this.print(`  ${problem?.detail}\n`);
   }
 
-  private check(isRight: boolean, scene: string): void {
+  private check(isRight: boolean, step: string): void {
     if (isRight) return;
     this.failures += 1;
-    this.context.stderr.write(`${scene}: the answer is wrong\n`);
+    this.context.stderr.write(`${step}: the answer is wrong\n`);
   }
 }
 
--- a/packages/cli/src/commands/entry/index.ts
+++ b/packages/cli/src/commands/entry/index.ts
@@ -17,15 +17,15 @@
 import {recordSuspensions} from '../../record-suspensions.ts';
 import {ReportingCommand} from '../../reporting-command.ts';
 
-/** `hollowstack entry`: the daemon. */
+/** `hollowstack entry`: runs the daemon of an entry instance. */
 export class EntryCommand extends ReportingCommand {
   static override paths = [['entry']];
   static override usage = Command.Usage({
     description: 'run one instance',
     details: `
-      Serves callers, operators and probes until it gets SIGTERM or SIGINT, then
-      stops without cutting a request. SIGHUP reads the peer keys of the settings
-      file again.
+      Serves callers, operators and probes until SIGTERM or SIGINT, then drains
+      its requests and stops. SIGHUP reloads the peer keys from the settings
+      file.
     `,
     examples: [
       ['Run an instance', 'hollowstack entry --settings entry.toml'],
@@ -41,7 +41,7 @@
     description: 'settings file in TOML',
   });
   check = Option.Boolean('--check', false, {
-    description: 'print the settings in effect and end',
+    description: 'print the settings in effect and exit',
   });
 
   protected async runCommand(): Promise<number> {
@@ -80,14 +80,14 @@
       await link.listen(listen.peerAddress);
       await server.listen(host, port);
     } catch (error) {
-      // What listens already would keep a process that serves nobody.
+      // Listeners that are already open would keep an unusable process alive.
       link.close();
       client.close();
       throw toListenError(error);
     }
-    const stopAsked = this.waitForStop(daemon);
+    const stopRequested = this.waitForStop(daemon);
     void daemon.start();
-    await stopAsked;
+    await stopRequested;
     const isClean = await daemon.drain();
     await server.close();
     client.close();
@@ -97,7 +97,7 @@
   private waitForStop(daemon: Daemon): Promise<void> {
     process.on('SIGHUP', () => this.refreshKeys(daemon));
     return new Promise(resolve => {
-      // Kept for good: a second signal must not cut what the first lets finish.
+      // Never removed: a second signal must not interrupt the drain.
       process.on('SIGTERM', () => resolve());
       process.on('SIGINT', () => resolve());
     });
@@ -107,7 +107,7 @@
     try {
       daemon.parts.keys.setKeys(this.readSettings().peers.keys);
     } catch (error) {
-      // A file that cannot be read must not take a running instance down.
+      // An unreadable file must not stop a running instance.
       const reason = error instanceof Error ? error.message : String(error);
       daemon.parts.environment.logger.logEvent('entry.keys-unreadable', {
         reason,
--- a/packages/cli/src/commands/gateway/index.ts
+++ b/packages/cli/src/commands/gateway/index.ts
@@ -27,14 +27,14 @@
 import {recordSuspensions} from '../../record-suspensions.ts';
 import {ReportingCommand} from '../../reporting-command.ts';
 
-/** `hollowstack gateway`: the daemon of routed services. */
+/** `hollowstack gateway`: runs the daemon of routed services. */
 export class GatewayCommand extends ReportingCommand {
   static override paths = [['gateway']];
   static override usage = Command.Usage({
     description: 'run one instance that serves routed services',
     details: `
       Follows the routes, keys and upstreams in the platform's store and serves
-      requests until it gets SIGTERM or SIGINT, then stops without cutting one.
+      requests until SIGTERM or SIGINT, then drains them and stops.
     `,
     examples: [
       ['Run an instance', 'hollowstack gateway --settings gateway.toml'],
@@ -50,7 +50,7 @@
     description: 'settings file in TOML',
   });
   check = Option.Boolean('--check', false, {
-    description: 'print the settings in effect and end',
+    description: 'print the settings in effect and exit',
   });
 
   protected async runCommand(): Promise<number> {
@@ -97,24 +97,24 @@
       engineProtocol: new PlatformEngines(),
       signalProtocol: new PlatformSignals(),
     });
-    const stopAsked = new Promise<void>(resolve => {
-      // Kept for good: a second signal must not cut what the first lets finish.
+    const stopRequested = new Promise<void>(resolve => {
+      // Never removed: a second signal must not interrupt the drain.
       process.on('SIGTERM', () => resolve());
       process.on('SIGINT', () => resolve());
     });
-    // Settings that may change while running: none. The signal must not end
-    // the process, as it would by default.
+    // No setting can be reloaded, but the signal must not end the process, as it
+    // would by default.
     process.on('SIGHUP', () => {});
     try {
-      // A gateway whose store is away waits in its start; it must end all the same.
-      await Promise.race([gateway.start(), stopAsked]);
+      // start() waits for the store; a stop must also work while it is unavailable.
+      await Promise.race([gateway.start(), stopRequested]);
     } catch (error) {
-      // What listens already would keep a process that serves nobody.
+      // Listeners that are already open would keep an unusable process alive.
       gateway.stop();
       client.close();
       throw toListenError(error);
     }
-    await stopAsked;
+    await stopRequested;
     await gateway.drain();
     client.close();
     logger.logEvent('entry.ending', {open: formatOpenResources()});
--- a/packages/cli/src/commands/limits/list.ts
+++ b/packages/cli/src/commands/limits/list.ts
@@ -9,7 +9,7 @@
   static override usage = Command.Usage({
     description: 'list the rate limits that upstreams advertise',
     details: `
-      Any gateway can be asked at its metrics address. Each limit applies to the total
+      Any gateway answers at its metrics address. Each limit applies to the total
       rate of all gateways.
     `,
     examples: [
--- a/packages/cli/src/commands/load/index.ts
+++ b/packages/cli/src/commands/load/index.ts
@@ -16,17 +16,17 @@
 import {readTextFile} from '../../read-text-file.ts';
 import {ReportingCommand} from '../../reporting-command.ts';
 
-/** `hollowstack load`: the load and experiment tool. */
+/** `hollowstack load`: runs a load scenario and compares policies. */
 export class LoadCommand extends ReportingCommand {
   static override paths = [['load']];
   static override usage = Command.Usage({
     category: 'Measuring',
     description: 'run a scenario and report attainment and cost',
     details: `
-      Without --entry the scenario runs in this process on a manual clock: the
-      real daemons beside stand-ins, every policy on the same arrivals. With
-      --entry the arrivals are sent to running instances on the loopback
-      interface, open loop.
+      Without --entry the scenario runs in this process on a manual clock, with
+      the real daemons, stand-ins for upstreams, and the same arrivals for every
+      policy. With --entry the arrivals are sent in an open loop to running
+      instances on the loopback interface.
 
       docs/SCENARIOS.md describes the file.
     `,
@@ -49,10 +49,10 @@
     description: 'loopback address of a running instance, repeatable',
   });
   jsonPath = Option.String('--json-file', {
-    description: 'write the summaries as JSON',
+    description: 'file to which the summaries are written as JSON',
   });
   htmlPath = Option.String('--html-file', {
-    description: 'write a page with plots',
+    description: 'file to which a page with charts is written',
   });
 
   protected async runCommand(): Promise<number> {
@@ -109,7 +109,7 @@
       const runs = scenario.seeds.map(
         seed => () => runAgainstEntries(scenario, entries, seed),
       );
-      return runInTurn(runs);
+      return runSequentially(runs);
     }
     const {seeds, policies} = scenario;
     return runExperiment(scenario, {
@@ -121,7 +121,7 @@
   }
 }
 
-async function runInTurn<Value>(
+async function runSequentially<Value>(
   runs: ReadonlyArray<() => Promise<Value>>,
 ): Promise<Value[]> {
   const values: Value[] = [];
--- a/packages/cli/src/commands/quarantine/list.ts
+++ b/packages/cli/src/commands/quarantine/list.ts
@@ -3,15 +3,15 @@
 import {formatTable} from '../../format-table.ts';
 import {OperatorCommand} from '../../operator-command.ts';
 
-/** `hollowstack quarantine list`: the requests that are refused because they crash upstreams. */
+/** `hollowstack quarantine list`: lists the requests refused because they crash upstreams. */
 export class QuarantineListCommand extends OperatorCommand {
   static override paths = [['quarantine', 'list'], ['quarantine']];
   static override usage = Command.Usage({
-    description: 'list requests that are refused because they crash upstreams',
+    description: 'list the requests refused because they crash upstreams',
     details: `
-      Any gateway can be asked at its metrics address. A request is named by the
-      fingerprint of its content, as in the events request.quarantined and
-      upstream.crashed of the log.
+      Any gateway answers at its metrics address. Requests are identified by the
+      fingerprint of their content, as in the log events request.quarantined and
+      upstream.crashed.
     `,
     examples: [
       ['Ask one gateway', 'hollowstack quarantine list --entry 10.0.0.7:9464'],
--- a/packages/cli/src/commands/quarantine/release.ts
+++ b/packages/cli/src/commands/quarantine/release.ts
@@ -1,14 +1,15 @@
 import {Command, Option} from 'clipanion';
 import {OperatorCommand} from '../../operator-command.ts';
 
-/** `hollowstack quarantine release`: has a request served again. */
+/** `hollowstack quarantine release`: releases a request from quarantine. */
 export class QuarantineReleaseCommand extends OperatorCommand {
   static override paths = [['quarantine', 'release']];
   static override usage = Command.Usage({
     description: 'serve a quarantined request again, on all gateways',
     details: `
-      Any gateway can be told at its metrics address; it tells the others. If the
-      request still crashes upstreams, it is quarantined again after three of them.
+      Any gateway accepts the release at its metrics address and notifies the
+      others. If the request still crashes upstreams, it is quarantined again after
+      three crashes.
     `,
     examples: [
       [
--- a/packages/cli/src/commands/report/index.ts
+++ b/packages/cli/src/commands/report/index.ts
@@ -6,22 +6,22 @@
 
 const DEFAULT_WINDOW_SECONDS = '2';
 
-/** `hollowstack report`: what became of the requests in a log, and why. */
+/** `hollowstack report`: summarizes the outcomes of the requests in a log. */
 export class ReportCommand extends ReportingCommand {
   static override paths = [['report']];
   static override usage = Command.Usage({
-    description: 'turn the log of gateways into tables',
+    description: 'summarize the logs of gateways in tables',
     details: `
-      Reads the JSON lines that gateways write, of one or of several instances
-      together, and tells by route and time how many requests were in time, late,
-      refused or failed, for which reasons, and how busy the stage services were.
+      Reads the JSON lines that one or several gateways wrote and shows, by route
+      and time, how many requests were in time, late, refused or failed, for which
+      reasons, and how busy the stage services were.
     `,
     examples: [['Report on a log', 'hollowstack report gateway.log']],
   });
 
   logPath = Option.String();
   window = Option.String('--window', DEFAULT_WINDOW_SECONDS, {
-    description: 'seconds a row stands for',
+    description: 'seconds that one row covers',
   });
 
   protected async runCommand(): Promise<number> {
@@ -29,7 +29,7 @@
     if (!(windowSeconds > 0)) {
       throw new HollowstackError(
         'bad-request',
-        `--window takes seconds above 0, not ${this.window}`,
+        `--window: write a number of seconds above 0, not ${this.window}`,
       );
     }
     const log = parseLog(readTextFile(this.logPath), this.logPath);
--- a/packages/cli/src/commands/stand-in/index.ts
+++ b/packages/cli/src/commands/stand-in/index.ts
@@ -14,10 +14,10 @@
 
 abstract class StandInCommand extends ReportingCommand {
   listen = Option.String('--listen', '127.0.0.1:0', {
-    description: 'IP number and port to serve at',
+    description: 'IP address and port to listen at',
   });
 
-  /** Creates what is served. */
+  /** Creates the handler of the stand-in's requests. */
   protected abstract createHandler(): HttpHandler;
 
   protected async runCommand(): Promise<number> {
@@ -31,13 +31,13 @@
   }
 }
 
-/** `hollowstack stand-in platform`. */
+/** `hollowstack stand-in platform`: runs a stand-in of the platform's service. */
 export class StandInPlatformCommand extends StandInCommand {
   static override paths = [['stand-in', 'platform']];
   static override usage = Command.Usage({
     category: CATEGORY,
     description: "run a stand-in of the platform's service",
-    details: 'Faults are switched by POST /stand-in/faults with JSON.',
+    details: 'Faults are set by POST /stand-in/faults with JSON.',
   });
 
   protected createHandler(): HttpHandler {
@@ -46,7 +46,7 @@
   }
 }
 
-/** `hollowstack stand-in engine`. */
+/** `hollowstack stand-in engine`: runs a stand-in of a model engine. */
 export class StandInEngineCommand extends StandInCommand {
   static override paths = [['stand-in', 'engine']];
   static override usage = Command.Usage({
@@ -55,16 +55,16 @@
   });
 
   models = Option.Array('--model', ['assistant'], {
-    description: 'model that it holds',
+    description: 'model that it serves, repeatable',
   });
   stepMs = Option.String('--step-ms', '5', {
-    description: 'milliseconds a token takes with an empty batch',
+    description: 'milliseconds per token with an empty batch',
   });
   perSequenceMs = Option.String('--per-sequence-ms', '0.4', {
-    description: 'milliseconds more for each sequence in the batch',
+    description: 'additional milliseconds per sequence in the batch',
   });
   maxRunning = Option.String('--max-running', '16', {
-    description: 'sequences generated at the same time',
+    description: 'maximum number of sequences generated at the same time',
   });
 
   protected createHandler(): HttpHandler {
@@ -84,7 +84,7 @@
   }
 }
 
-/** `hollowstack stand-in pool`. */
+/** `hollowstack stand-in pool`: runs a stand-in of an encoder, retriever or reranker. */
 export class StandInPoolCommand extends StandInCommand {
   static override paths = [['stand-in', 'pool']];
   static override usage = Command.Usage({
@@ -96,7 +96,7 @@
     description: 'milliseconds for a request without input',
   });
   slots = Option.String('--slots', '4', {
-    description: 'requests worked on at the same time',
+    description: 'maximum number of requests processed at the same time',
   });
 
   protected createHandler(): HttpHandler {
@@ -111,7 +111,7 @@
   }
 }
 
-/** `hollowstack stand-in service`. */
+/** `hollowstack stand-in service`: runs a stand-in of a plain service. */
 export class StandInServiceCommand extends StandInCommand {
   static override paths = [['stand-in', 'service']];
   static override usage = Command.Usage({
@@ -120,7 +120,7 @@
   });
 
   serviceMs = Option.String('--service-ms', '20', {
-    description: 'milliseconds a call takes',
+    description: 'duration of a call in milliseconds',
   });
 
   protected createHandler(): HttpHandler {
--- a/packages/cli/src/commands/status/index.ts
+++ b/packages/cli/src/commands/status/index.ts
@@ -3,7 +3,7 @@
 import {OperatorCommand} from '../../operator-command.ts';
 import {formatTable} from '../../format-table.ts';
 
-/** `hollowstack status`: one instance with its upstreams and latencies. */
+/** `hollowstack status`: shows one instance with its upstreams and latencies. */
 export class StatusCommand extends OperatorCommand {
   static override paths = [['status']];
   static override usage = Command.Usage({
--- a/packages/cli/src/commands/why/index.ts
+++ b/packages/cli/src/commands/why/index.ts
@@ -2,14 +2,15 @@
 import {Command, Option} from 'clipanion';
 import {OperatorCommand} from '../../operator-command.ts';
 
-/** `hollowstack why`: each decision about one request. */
+/** `hollowstack why`: shows the decisions about one request. */
 export class WhyCommand extends OperatorCommand {
   static override paths = [['why']];
   static override usage = Command.Usage({
-    description: 'tell each decision that was made about a request',
+    description: 'show the decisions that were made about a request',
     details: `
-      Any instance can be asked; it forwards to the one that served the request.
-      The request id is in the header hollowstack-request-id of each answer.
+      Any instance can be asked; it forwards the call to the one that served the
+      request. The request id is in the header hollowstack-request-id of each
+      answer.
     `,
     examples: [['Ask about a request', 'hollowstack why entry-1.mf3k2a.7']],
   });
--- a/packages/cli/src/end-process.test.ts
+++ b/packages/cli/src/end-process.test.ts
@@ -1,12 +1,12 @@
-// A gateway logged that it had stopped and was still there a minute later, until a signal
-// killed it. Its end followed from nothing being open any more, and something was.
+// Guards against a process that never exits: a gateway logged that it had stopped but ran
+// until it was killed a minute later, because an open resource kept the event loop alive.
 import assert from 'node:assert/strict';
 import {execFile} from 'node:child_process';
 import {test} from 'node:test';
 
 const MODULE_URL = new URL('./end-process.ts', import.meta.url).href;
 /** Milliseconds after which a process that does not end fails the test. */
-const LIMIT_MS = 5000;
+const TIMEOUT_MS = 5000;
 const LINE_COUNT = 2000;
 
 interface EndedProcess {
@@ -15,11 +15,11 @@
   readonly stdout: string;
 }
 
-/** Runs a module's text in a process of its own. */
+/** Runs the source of a module in a separate process. */
 function runModule(text: string): Promise<EndedProcess> {
   const args = ['--input-type=module', '--eval', text];
   return new Promise(resolve => {
-    execFile(process.execPath, args, {timeout: LIMIT_MS}, (error, stdout) =>
+    execFile(process.execPath, args, {timeout: TIMEOUT_MS}, (error, stdout) =>
       resolve({
         exitCode: error ? error.code : 0,
         wasKilled: error?.killed ?? false,
@@ -29,7 +29,7 @@
   });
 }
 
-test('a process whose command has ended ends with its exit code, whatever is open', async () => {
+test('a process exits with its exit code despite open resources', async () => {
   const {exitCode, wasKilled} = await runModule(`
     import {createServer} from 'node:net';
     import {endProcess} from '${MODULE_URL}';
@@ -39,7 +39,7 @@
   assert.deepEqual({exitCode, wasKilled}, {exitCode: 3, wasKilled: false});
 });
 
-test('what was printed before is not lost', async () => {
+test('output printed before the exit is not lost', async () => {
   const {exitCode, stdout} = await runModule(`
     import {endProcess} from '${MODULE_URL}';
     for (let line = 0; line < ${LINE_COUNT}; line++) console.log('line', line);
--- a/packages/cli/src/end-process.ts
+++ b/packages/cli/src/end-process.ts
@@ -1,23 +1,23 @@
 /**
- * Milliseconds that the last lines may take to leave. A reader that has stopped reading
- * does not keep the process.
+ * Time to flush standard output. After it the process exits even if the reader of its
+ * output has stopped reading.
  */
-const FLUSH_LIMIT_MS = 1000;
+const FLUSH_TIMEOUT_MS = 1000;
 
 /**
- * Ends the process once its command has ended, whatever is still open. A gateway that had
- * stopped was there a minute later, until it was killed: a connection or a timer that
- * some part left behind keeps a process whose end only follows from having nothing to do.
+ * Ends the process once its command has ended, even if resources are still open. A stopped
+ * gateway once ran on for a minute until it was killed: a leaked connection or timer keeps
+ * a process alive that only exits when its event loop is empty.
  */
 export function endProcess(exitCode: number): void {
-  // The one place at which a process ends by itself; commands return their exit code.
+  // The only place where the process exits; commands return their exit code.
   // eslint-disable-next-line n/no-process-exit
   const exit = () => process.exit(exitCode);
-  setTimeout(exit, FLUSH_LIMIT_MS);
+  setTimeout(exit, FLUSH_TIMEOUT_MS);
   process.stdout.write('', exit);
 }
 
-/** Formats what keeps the process: kinds of resources with their count. */
+/** Formats the resources that keep the process alive, by kind with their count. */
 export function formatOpenResources(): string {
   const counts = new Map<string, number>();
   for (const kind of process.getActiveResourcesInfo()) {
--- a/packages/cli/src/format-table.ts
+++ b/packages/cli/src/format-table.ts
@@ -1,13 +1,13 @@
-/** Formats rows under a head, each column as wide as its widest cell. */
+/** Formats rows under a header, with each column as wide as its widest cell. */
 export function formatTable(
-  head: readonly string[],
+  header: readonly string[],
   rows: ReadonlyArray<readonly string[]>,
 ): string {
-  const all = [head, ...rows];
-  const widths = head.map((_, column) =>
-    Math.max(...all.map(row => row[column].length)),
+  const allRows = [header, ...rows];
+  const widths = header.map((_, column) =>
+    Math.max(...allRows.map(row => row[column].length)),
   );
-  return all
+  return allRows
     .map(row =>
       row
         .map((cell, column) => cell.padEnd(widths[column]))
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,2 +1,2 @@
-/** The hollowstack command line as a function, for programs that carry it. */
+/** The hollowstack command line as a function, for programs that embed it. */
 export {runCommandLine} from './run-command-line.ts';
--- a/packages/cli/src/listen-error.ts
+++ b/packages/cli/src/listen-error.ts
@@ -1,13 +1,17 @@
 import {HollowstackError} from '@hollowstack/errors';
 
-/** What the system says of an address that cannot be listened at, and what to do. */
+/** Cause and next step for each error code of a failed listen call. */
 const ADVICE_BY_CODE: Readonly<Record<string, string>> = {
-  EADDRINUSE: 'another process listens there: stop it, or set another address',
+  EADDRINUSE:
+    'another process is listening there: stop it, or set another address',
   EADDRNOTAVAIL: 'this machine has no such address: set one that it has',
-  EACCES: 'this user may not use the port: set one above 1023',
+  EACCES: 'this user is not allowed to use the port: set one above 1023',
 };
 
-/** Makes of a failure to listen an error that names the address and the next step. */
+/**
+ * Converts a failed listen call into an error that names the address and the next step.
+ * Other errors are returned as they are.
+ */
 export function toListenError(error: unknown): unknown {
   if (!(error instanceof Error)) return error;
   const {
--- a/packages/cli/src/operator-command.ts
+++ b/packages/cli/src/operator-command.ts
@@ -16,27 +16,30 @@
 const DEFAULT_ADDRESS = '127.0.0.1:8080';
 const KEY_VARIABLE = 'HOLLOWSTACK_OPERATOR_KEY';
 /**
- * Milliseconds for an instance's answer to an operator; a publish may meet a
- * slow store.
+ * Time-out for an operator's call; high enough for a publish to a slow store.
  */
 const TIMEOUT_MS = 30_000;
 /** HTTP status. */
-const OK = 200;
+const OK_STATUS = 200;
 
-/** A command that asks a running instance. */
+/** A command that calls the operator API of a running instance. */
 export abstract class OperatorCommand extends ReportingCommand {
   address = Option.String('--entry', DEFAULT_ADDRESS, {
-    description: 'IP number and port of any instance',
+    description: 'IP address and port of any instance',
   });
   key = Option.String('--key', {
     env: KEY_VARIABLE,
-    description: `operator key; ${KEY_VARIABLE} is taken where it is left out`,
+    description: `operator key; defaults to ${KEY_VARIABLE}`,
   });
   json = Option.Boolean('--json', false, {
-    description: 'print JSON for a script',
+    description: 'print JSON for scripts',
   });
 
-  /** Sends an operator's call and returns its parsed answer. */
+  /**
+   * Sends an operator's call and resolves to its parsed answer.
+   *
+   * @throws HollowstackError `not-ready` without an answer, else of the answer's kind.
+   */
   protected async callEntry(
     method: string,
     call: string,
@@ -78,7 +81,7 @@
 async function readAnswer(response: HttpResponse): Promise<unknown> {
   const text = (await readBody(response.body)).toString('utf8');
   const answer: unknown = JSON.parse(text);
-  if (response.status === OK) return answer;
+  if (response.status === OK_STATUS) return answer;
   const problem = answer as Partial<Problem>;
   const kind: ErrorKind =
     ERROR_KINDS.find(known => known === problem.kind) ?? 'internal';
--- a/packages/cli/src/read-text-file.ts
+++ b/packages/cli/src/read-text-file.ts
@@ -1,7 +1,7 @@
 import {readFileSync} from 'node:fs';
 import {HollowstackError} from '@hollowstack/errors';
 
-/** Reads a file. @throws HollowstackError `bad-request` that names the path. */
+/** Reads a file as UTF-8. @throws HollowstackError `bad-request` that names the path. */
 export function readTextFile(path: string): string {
   try {
     return readFileSync(path, 'utf8');
--- a/packages/cli/src/record-suspensions.ts
+++ b/packages/cli/src/record-suspensions.ts
@@ -3,9 +3,9 @@
 import type {MetricsRegistry} from '@hollowstack/metrics';
 
 /**
- * Logs the times for which the machine was suspended.
+ * Logs each suspension of the machine with its duration.
  *
- * @param metrics Counts them, where the caller has metrics of its own.
+ * @param metrics If given, also counts the suspensions.
  */
 export function recordSuspensions(
   clock: SystemClock,
--- a/packages/cli/src/reporting-command.ts
+++ b/packages/cli/src/reporting-command.ts
@@ -1,14 +1,14 @@
 import {HollowstackError} from '@hollowstack/errors';
 import {Command} from 'clipanion';
 
-/** Exit code for a call that was understood but not granted. */
-const FAILED = 1;
-/** Exit code for input that cannot be read. */
-const BAD_INPUT = 2;
+/** Exit code for a valid call that failed. */
+const FAILED_EXIT_CODE = 1;
+/** Exit code for invalid input. */
+const BAD_INPUT_EXIT_CODE = 2;
 
-/** A command whose errors are told in one piece: what is wrong, and what to do. */
+/** A command that prints an error with its cause and the next step, and no stack. */
 export abstract class ReportingCommand extends Command {
-  /** Does the command's work and resolves to its exit code. */
+  /** Runs the command and resolves to its exit code. */
   protected abstract runCommand(): Promise<number>;
 
   override async execute(): Promise<number> {
@@ -16,14 +16,14 @@
       return await this.runCommand();
     } catch (thrown) {
       if (!(thrown instanceof HollowstackError)) throw thrown;
-      const isInput =
+      const isInputError =
         thrown.kind === 'configuration-invalid' ||
         thrown.kind === 'bad-request';
-      const advice = isInput
+      const advice = isInputError
         ? 'Mend that and run the same command again.\n'
         : '';
       this.context.stderr.write(`${thrown.message}\n${advice}`);
-      return isInput ? BAD_INPUT : FAILED;
+      return isInputError ? BAD_INPUT_EXIT_CODE : FAILED_EXIT_CODE;
     }
   }
 
--- a/packages/cli/src/snapshot-main.ts
+++ b/packages/cli/src/snapshot-main.ts
@@ -1,6 +1,6 @@
-// The binary's entry point. The build runs this module once and stores the heap, so that
-// a process starts with all modules of the daemon loaded. The command line itself is
-// loaded by the process: its library opens the standard streams.
+// Entry point of the binary. The build runs this module once and stores the heap, so that
+// a process starts with all modules of the daemon loaded. The command line is imported at
+// the start of the process, since its library opens the standard streams.
 import '@hollowstack/bench';
 import '@hollowstack/entry';
 import '@hollowstack/gateway';
--- a/packages/cli/src/version.ts
+++ b/packages/cli/src/version.ts
@@ -1,2 +1,2 @@
-/** The version that the binary and `--version` tell. */
+/** The version that `--version` prints. */
 export const VERSION = '0.1.0';
