--- a/packages/bench/src/arrivals.ts
+++ b/packages/bench/src/arrivals.ts
@@ -1,21 +1,21 @@
 import {createSeededRandom} from '@hollowstack/local-system';
 import type {Scenario, ScenarioClass} from './scenario.ts';
 
-/** One request to be sent, whatever became of those before it. */
+/** One request of the open-loop load, sent regardless of earlier ones. */
 export interface Arrival {
-  /** Milliseconds from the start of the measured part; below zero in the warm-up. */
+  /** Milliseconds from the start of the measured part; negative during warm-up. */
   readonly atMs: number;
   readonly workspace: string;
   readonly class: ScenarioClass;
   readonly input: string;
-  /** From 0 to below 1; chooses the instance as the balancer would. */
+  /** Random number in [0, 1) that selects the instance in place of the balancer. */
   readonly balancerDraw: number;
 }
 
 const SHARED_TEXT =
   'You answer for the workspace in its own words and keep to its rules. ';
 
-/** Creates all arrivals of a run; the same seed gives the same ones to every policy. */
+/** Creates all arrivals of a run in order; they depend on scenario and seed only. */
 export function createArrivals(scenario: Scenario, seed: number): Arrival[] {
   const arrivals = scenario.workspaces.flatMap((workspace, workspaceIndex) =>
     workspace.classes.flatMap((requestClass, classIndex) => {
@@ -42,16 +42,16 @@
   const {durationMs, warmupMs} = scenario;
   const peakFactor = Math.max(1, ...scenario.bursts.map(({factor}) => factor));
   const peakRate = requestClass.requestsPerSecond * scenario.load * peakFactor;
-  // A Poisson process at the peak rate, thinned to the rate of the moment.
+  // A Poisson process at the peak rate, thinned to the current rate.
   let atMs = -warmupMs;
   while (true) {
     atMs += (-Math.log(1 - random()) / peakRate) * 1000;
     if (atMs >= durationMs) return arrivals;
     const factor = getFactor(scenario, requestClass.name, atMs);
-    const isKept = random() < factor / peakFactor;
+    const isAccepted = random() < factor / peakFactor;
     const draw = random();
     const input = createInput(workspace, requestClass, random);
-    if (isKept) {
+    if (isAccepted) {
       arrivals.push({
         atMs,
         workspace,
--- a/packages/bench/src/html-report.ts
+++ b/packages/bench/src/html-report.ts
@@ -7,9 +7,9 @@
 import type {Scenario} from './scenario.ts';
 import {renderBarChart, renderLineChart, type Line} from './svg-charts.ts';
 
-const BUCKETS = 40;
+const BUCKET_COUNT = 40;
 
-/** Renders a page with plots that needs nothing but a browser. */
+/** Renders a self-contained HTML page with charts. */
 export function renderHtmlReport(
   scenario: Scenario,
   runs: readonly RunResult[],
@@ -51,7 +51,7 @@
 function renderSummary(summaries: readonly PolicySummary[]): string {
   const rows = summaries.map(
     ({policy, requests, attainment, goodput, wasted}) =>
-      `<tr><td>${policy}</td><td>${requests}</td><td>${formatSpread(attainment)}</td><td>${goodput.mean.toFixed(1)}</td><td>${formatSpread(wasted)}</td></tr>`,
+      `<tr><td>${policy}</td><td>${requests}</td><td>${formatStatistics(attainment)}</td><td>${goodput.mean.toFixed(1)}</td><td>${formatStatistics(wasted)}</td></tr>`,
   );
   return `<table><tr><th>policy</th><th>requests</th><th>attainment %</th><th>goodput /s</th><th>wasted %</th></tr>${rows.join('')}</table>`;
 }
@@ -60,7 +60,7 @@
   const rows = summaries.flatMap(({policy, classes}) =>
     classes.map(
       summary =>
-        `<tr><td>${policy}</td><td>${encodeHtml(summary.class)}</td><td>${formatSpread(summary.attainment)}</td><td>${summary.p50Ms.toFixed(0)}</td><td>${summary.p95Ms.toFixed(0)}</td><td>${summary.p99Ms.toFixed(0)}</td></tr>`,
+        `<tr><td>${policy}</td><td>${encodeHtml(summary.class)}</td><td>${formatStatistics(summary.attainment)}</td><td>${summary.p50Ms.toFixed(0)}</td><td>${summary.p95Ms.toFixed(0)}</td><td>${summary.p99Ms.toFixed(0)}</td></tr>`,
     ),
   );
   return `<table><tr><th>policy</th><th>class</th><th>attainment %</th><th>p50 ms</th><th>p95 ms</th><th>p99 ms</th></tr>${rows.join('')}</table>`;
@@ -71,28 +71,29 @@
   durationMs: number,
 ): Line[] {
   const policies = [...new Set(runs.map(({policy}) => policy))];
-  const bucketMs = durationMs / BUCKETS;
+  const bucketMs = durationMs / BUCKET_COUNT;
   return policies.map(policy => {
     const requests = runs
       .filter(run => run.policy === policy)
       .flatMap(run => run.requests);
-    const points = Array.from({length: BUCKETS}, (_, bucket) => {
-      const own = requests.filter(
+    const points = Array.from({length: BUCKET_COUNT}, (_, bucket) => {
+      const bucketRequests = requests.filter(
         ({atMs}) => Math.floor(atMs / bucketMs) === bucket,
       );
-      const attained = own.filter(isAttained).length;
-      const share = own.length === 0 ? 1 : attained / own.length;
+      const attained = bucketRequests.filter(isAttained).length;
+      const share =
+        bucketRequests.length === 0 ? 1 : attained / bucketRequests.length;
       return {x: ((bucket + 0.5) * bucketMs) / 1000, y: share * 100};
     });
     return {label: policy, points};
   });
 }
 
-function formatSpread({mean, min, max}: SeedStatistics): string {
-  const [middle, least, most] = [mean, min, max].map(value =>
+function formatStatistics({mean, min, max}: SeedStatistics): string {
+  const [meanText, minText, maxText] = [mean, min, max].map(value =>
     (value * 100).toFixed(1),
   );
-  return `${middle} <small>(${least}-${most})</small>`;
+  return `${meanText} <small>(${minText}-${maxText})</small>`;
 }
 
 function encodeHtml(text: string): string {
--- a/packages/bench/src/in-process-run.ts
+++ b/packages/bench/src/in-process-run.ts
@@ -16,19 +16,19 @@
 import {ScenarioFaults} from './scenario-faults.ts';
 import type {Scenario} from './scenario.ts';
 
-const START_LIMIT_MS = 60_000;
-/** Milliseconds past the last deadline for which answers are waited for. */
+const START_TIMEOUT_MS = 60_000;
+/** Time after the last deadline for which late answers are awaited. */
 const TAIL_MS = 1000;
 const CALLERS = 'callers';
 
-/** A result with the id by which the upstreams' records know the request. */
+/** A result with the request id under which upstreams record their work. */
 interface TracedResult extends RequestResult {
   readonly requestId: string;
 }
 
 /**
- * Runs one policy with one seed in this process: the real daemons beside the
- * stand-ins, on a manual clock. The same seed gives the same result.
+ * Runs one policy with one seed in this process, with the real daemons and stand-ins
+ * for upstreams on a manual clock. The same seed gives the same result.
  */
 export async function runInProcess(
   scenario: Scenario,
@@ -44,10 +44,10 @@
         : scenario.latencyMs,
   });
   const system = createSystem(scenario, policy, network, random);
-  await clock.advanceUntil(system.start(), START_LIMIT_MS);
+  await clock.advanceUntil(system.start(), START_TIMEOUT_MS);
   const objects = createScenarioConfiguration(scenario, system.listUpstreams());
-  await clock.advanceUntil(system.publish(objects), START_LIMIT_MS);
-  await clock.advanceUntil(system.waitUntilReady(), START_LIMIT_MS);
+  await clock.advanceUntil(system.publish(objects), START_TIMEOUT_MS);
+  await clock.advanceUntil(system.waitUntilReady(), START_TIMEOUT_MS);
   const run = new InProcessRun(scenario, system, network, clock);
   await run.runArrivals(createArrivals(scenario, seed));
   const result = run.getResult(policy, seed);
@@ -151,13 +151,14 @@
         outcome,
         requestId,
       });
-    // The caller's own way counts into its deadline, so that much less is left
-    // for the instance.
-    const leftMs = arrival.class.deadlineMs - 2 * this.scenario.callerLatencyMs;
+    // The caller's deadline includes its round trip to the instance, so the
+    // instance gets that much less.
+    const remainingMs =
+      arrival.class.deadlineMs - 2 * this.scenario.callerLatencyMs;
     this.system
       .createCaller(instances[index])
       .runPipeline(arrival.workspace, arrival.class.name, arrival.input, {
-        'hollowstack-deadline-ms': String(leftMs),
+        'hollowstack-deadline-ms': String(remainingMs),
       })
       .then(
         ({problem, headers}) =>
--- a/packages/bench/src/index.ts
+++ b/packages/bench/src/index.ts
@@ -1,4 +1,4 @@
-/** The load and experiment tool: scenarios, runs over policies and seeds, reports. */
+/** Load and experiment tool: scenarios, runs by policy and seed, and reports. */
 export {parseScenario, scenarioSchema, type Scenario} from './scenario.ts';
 export {POLICIES, POLICY_NAMES, type PolicyName} from './policies.ts';
 export {createArrivals, type Arrival} from './arrivals.ts';
--- a/packages/bench/src/policies.ts
+++ b/packages/bench/src/policies.ts
@@ -1,6 +1,6 @@
 import type {Settings} from '@hollowstack/entry';
 
-/** The policies that can be compared; the first is the product's own. */
+/** The policies that can be compared; the first is the default of hollowstack. */
 export const POLICY_NAMES = [
   'hollowstack',
   'least-in-flight',
@@ -18,7 +18,7 @@
 
 type PolicySettings = Settings['policy'];
 
-const OWN: PolicySettings = {
+const HOLLOWSTACK: PolicySettings = {
   selector: 'predicted-finish',
   refuseDoomed: true,
   adaptLimits: true,
@@ -26,25 +26,25 @@
   adaptSilence: true,
 };
 
-// The three simple policies choose by their rule alone and decide nothing
-// else, as an ordinary balancer before the upstreams would.
+// The simple policies only choose an upstream, like an ordinary load balancer
+// in front of the upstreams.
 const SIMPLE: PolicySettings = {
-  ...OWN,
+  ...HOLLOWSTACK,
   refuseDoomed: false,
   adaptLimits: false,
   adaptSilence: false,
 };
 
-/** Each policy as settings of the daemons; the rest differ from ours in one decision. */
+/** Settings by policy; those not based on SIMPLE differ from HOLLOWSTACK in one decision. */
 export const POLICIES: Readonly<Record<PolicyName, PolicySettings>> = {
-  hollowstack: OWN,
+  hollowstack: HOLLOWSTACK,
   'least-in-flight': {...SIMPLE, selector: 'least-in-flight'},
   'round-robin': {...SIMPLE, selector: 'round-robin'},
   random: {...SIMPLE, selector: 'random'},
-  'no-refusal': {...OWN, refuseDoomed: false},
-  'fixed-limits': {...OWN, adaptLimits: false},
-  'fixed-silence': {...OWN, adaptSilence: false},
-  'report-restores': {...OWN, reportRestores: true},
+  'no-refusal': {...HOLLOWSTACK, refuseDoomed: false},
+  'fixed-limits': {...HOLLOWSTACK, adaptLimits: false},
+  'fixed-silence': {...HOLLOWSTACK, adaptSilence: false},
+  'report-restores': {...HOLLOWSTACK, reportRestores: true},
   'predicted-only': {...SIMPLE, selector: 'predicted-finish'},
-  'least-with-rest': {...OWN, selector: 'least-in-flight'},
+  'least-with-rest': {...HOLLOWSTACK, selector: 'least-in-flight'},
 };
--- a/packages/bench/src/relay-main.ts
+++ b/packages/bench/src/relay-main.ts
@@ -8,9 +8,9 @@
 import {NodeHttpClient, readBody, sendJson} from '@hollowstack/transport';
 import type {ConfigObject} from '@hollowstack/types';
 
-// npm run relay: what an entry adds to a direct call of the same stand-in, and
-// the processor time that it spends on a relayed token. The entry, the
-// stand-ins and the callers are processes of their own.
+// npm run relay: measures the latency that an entry adds to a direct call of the
+// same stand-in, and its processor time per relayed token. The entry, the
+// stand-ins and the callers are separate processes.
 const REQUESTS_PER_SECOND = 200;
 const LATENCY_SECONDS = 5;
 const STREAMS = 64;
@@ -81,8 +81,9 @@
 
 async function measureAddedLatency(caller: SystemCaller): Promise<void> {
   const encoder = fleet.getUpstreams().encode[0].address;
-  const through = () => caller.runPipeline('lima-centro', 'embed', 'hello');
-  const direct = async () => {
+  const callThroughEntry = () =>
+    caller.runPipeline('lima-centro', 'embed', 'hello');
+  const callDirectly = async () => {
     const response = await sendJson(
       client,
       encoder,
@@ -92,9 +93,9 @@
     );
     await readBody(response.body);
   };
-  await runAtRate(through);
-  const directTimes = await runAtRate(direct);
-  const throughTimes = await runAtRate(through);
+  await runAtRate(callThroughEntry);
+  const directTimes = await runAtRate(callDirectly);
+  const throughTimes = await runAtRate(callThroughEntry);
   console.log('| call | p50 ms | p99 ms |\n| --- | --- | --- |');
   for (const [name, times] of [
     ['direct', directTimes],
@@ -139,14 +140,14 @@
   );
   const seconds = (clock.getNow() - startedMs) / 1000;
   const after = await readProcess(caller);
-  const whole = answers.filter(({end}) => end !== undefined).length;
-  const tokens = whole * STREAM_TOKENS;
+  const completeCount = answers.filter(({end}) => end !== undefined).length;
+  const tokens = completeCount * STREAM_TOKENS;
   const processorSeconds = after.processorSeconds - before.processorSeconds;
   console.log(
-    `${whole} of ${STREAMS} streams whole, ${tokens} tokens in ${seconds.toFixed(2)} s`,
+    `${completeCount} of ${STREAMS} streams complete, ${tokens} tokens in ${seconds.toFixed(2)} s`,
   );
   console.log(
-    `entry: ${((processorSeconds * 1e6) / tokens).toFixed(1)} us of processor a token, that is ${(tokens / processorSeconds).toFixed(0)} tokens/s on one core`,
+    `entry: ${((processorSeconds * 1e6) / tokens).toFixed(1)} us of processor time per token, that is ${(tokens / processorSeconds).toFixed(0)} tokens/s on one core`,
   );
 }
 
--- a/packages/bench/src/remote-run.ts
+++ b/packages/bench/src/remote-run.ts
@@ -8,11 +8,12 @@
 const LOOPBACK = /^(127\.\d{1,3}\.\d{1,3}\.\d{1,3}|\[::1\]):\d+$/;
 
 /**
- * Sends a scenario's arrivals to running instances, open loop: each request at
- * its time, however the ones before it fare. Faults of the scenario are not
- * switched, and the policy is whatever the instances run.
+ * Sends a scenario's arrivals to running instances in an open loop: each request is
+ * sent at its time, regardless of the outcome of earlier ones. The scenario's faults
+ * are ignored, and the instances use the policy of their settings.
  *
  * @param addresses Loopback addresses of entry instances.
+ * @throws Error for an address that is not a loopback address.
  */
 export async function runAgainstEntries(
   scenario: Scenario,
@@ -61,7 +62,8 @@
     class: arrival.class.name,
     priority: arrival.class.priority,
     deadlineMs: arrival.class.deadlineMs,
-    // From the intended start: a sender that fell behind must not look better.
+    // Measured from the intended start, so that a sender that lags behind does not
+    // report lower latencies.
     latencyMs: clock.getNow() - (startMs + arrival.atMs),
     outcome,
   };
--- a/packages/bench/src/results.ts
+++ b/packages/bench/src/results.ts
@@ -1,24 +1,24 @@
 import {LatencyHistogram} from '@hollowstack/metrics';
 import type {PolicyName} from './policies.ts';
 
-/** What became of one arrival. */
+/** Outcome of one arrival. */
 export interface RequestResult {
   readonly atMs: number;
   readonly workspace: string;
   readonly class: string;
   readonly priority: number;
   readonly deadlineMs: number;
-  /** Milliseconds from the intended start to the whole answer or the final error. */
+  /** Milliseconds from the intended start to the complete answer or the final error. */
   readonly latencyMs: number;
-  /** `answered`, an error kind, or `broken`. */
+  /** `answered`, an error kind, or `broken` if the connection failed. */
   readonly outcome: string;
 }
 
-/** Upstream time by stage, in milliseconds. */
+/** Busy time of the upstreams of one stage. */
 export interface StageCost {
   readonly stage: string;
   readonly busyMs: number;
-  /** Part of it for requests that were not answered in their deadline. */
+  /** Part of `busyMs` spent on requests that missed their deadline. */
   readonly wastedMs: number;
 }
 
@@ -28,18 +28,18 @@
   readonly seed: number;
   readonly durationMs: number;
   readonly requests: readonly RequestResult[];
-  /** Empty where the upstreams' own records are not at hand. */
+  /** Empty if the upstreams' work records are not available. */
   readonly costs: readonly StageCost[];
 }
 
-/** A figure over several seeds. */
+/** Statistics of a value over several seeds. */
 export interface SeedStatistics {
   readonly mean: number;
   readonly min: number;
   readonly max: number;
 }
 
-/** One class over all seeds of a policy. */
+/** Results of one request class over all seeds of a policy. */
 export interface ClassSummary {
   readonly class: string;
   readonly priority: number;
@@ -49,32 +49,32 @@
   readonly p99Ms: number;
 }
 
-/** One policy over all its seeds. */
+/** Results of one policy over all its seeds. */
 export interface PolicySummary {
   readonly policy: PolicyName;
   readonly seeds: number;
   readonly requests: number;
-  /** Share of requests answered whole in their deadline. */
+  /** Share of requests answered completely within their deadline. */
   readonly attainment: SeedStatistics;
-  /** Requests a second answered whole in their deadline. */
+  /** Requests per second answered completely within their deadline. */
   readonly goodput: SeedStatistics;
-  /** Share of upstream time that served nobody in time. */
+  /** Share of upstream time spent on requests that missed their deadline. */
   readonly wasted: SeedStatistics;
-  /** Upstream milliseconds for each request answered in time, by stage. */
+  /** Upstream milliseconds per request answered in time, by stage. */
   readonly costs: ReadonlyArray<{stage: string; perAttainedMs: SeedStatistics}>;
   readonly classes: readonly ClassSummary[];
   /** Requests by outcome. */
   readonly outcomes: ReadonlyArray<{outcome: string; count: number}>;
 }
 
-/** Returns whether a request was answered whole in its deadline. */
+/** Returns whether a request was answered completely within its deadline. */
 export function isAttained(request: RequestResult): boolean {
   return (
     request.outcome === 'answered' && request.latencyMs <= request.deadlineMs
   );
 }
 
-/** Computes the summary of each policy, in the order of their first runs. */
+/** Computes the summary of each policy, in the order in which policies first ran. */
 export function computeSummaries(runs: readonly RunResult[]): PolicySummary[] {
   const policies = [...new Set(runs.map(({policy}) => policy))];
   return policies.map(policy =>
@@ -94,9 +94,9 @@
     policy,
     seeds: runs.length,
     requests: requests.length,
-    attainment: computeSpread(runs.map(run => getAttainment(run.requests))),
-    goodput: computeSpread(runs.map(getGoodput)),
-    wasted: computeSpread(runs.map(getWastedShare)),
+    attainment: computeStatistics(runs.map(run => getAttainment(run.requests))),
+    goodput: computeStatistics(runs.map(getGoodput)),
+    wasted: computeStatistics(runs.map(getWastedShare)),
     costs: computeCosts(runs),
     classes: computeClasses(runs),
     outcomes: countOutcomes(requests),
@@ -124,7 +124,7 @@
   const stages = runs[0].costs.map(({stage}) => stage);
   return stages.map(stage => ({
     stage,
-    perAttainedMs: computeSpread(
+    perAttainedMs: computeStatistics(
       runs.map(run => {
         const attained = run.requests.filter(isAttained).length;
         const cost = run.costs.find(candidate => candidate.stage === stage);
@@ -138,16 +138,16 @@
   const requests = runs.flatMap(run => run.requests);
   const names = [...new Set(requests.map(request => request.class))].sort();
   return names.map(name => {
-    const own = requests.filter(request => request.class === name);
+    const classRequests = requests.filter(request => request.class === name);
     const histogram = new LatencyHistogram();
-    own
+    classRequests
       .filter(({outcome}) => outcome === 'answered')
       .forEach(({latencyMs}) => histogram.recordMs(latencyMs));
     const {p50Ms, p95Ms, p99Ms} = histogram.getSummary();
     return {
       class: name,
-      priority: own[0].priority,
-      attainment: computeSpread(
+      priority: classRequests[0].priority,
+      attainment: computeStatistics(
         runs.map(run =>
           getAttainment(run.requests.filter(request => request.class === name)),
         ),
@@ -173,7 +173,7 @@
     .sort((left, right) => right.count - left.count);
 }
 
-function computeSpread(values: readonly number[]): SeedStatistics {
+function computeStatistics(values: readonly number[]): SeedStatistics {
   const sum = values.reduce((total, value) => total + value, 0);
   return {
     mean: sum / values.length,
--- a/packages/bench/src/run-experiment.ts
+++ b/packages/bench/src/run-experiment.ts
@@ -3,7 +3,7 @@
 import type {RunResult} from './results.ts';
 import type {Scenario} from './scenario.ts';
 
-/** Which runs of a scenario to make. */
+/** Selects the runs of a scenario. */
 export interface ExperimentOptions {
   readonly policies: readonly PolicyName[];
   readonly seeds: readonly number[];
@@ -11,7 +11,7 @@
   readonly handleProgress?: (run: RunResult) => void;
 }
 
-/** Runs every policy with every seed, the same arrivals for each policy. */
+/** Runs every policy with every seed; all policies get the same arrivals. */
 export async function runExperiment(
   scenario: Scenario,
   options: ExperimentOptions,
--- a/packages/bench/src/scenario-configuration.ts
+++ b/packages/bench/src/scenario-configuration.ts
@@ -8,9 +8,9 @@
 import type {Scenario, ScenarioClass} from './scenario.ts';
 
 const MODEL = 'assistant';
-const TOKENS_PER_WORK = 64;
+const TOKENS_PER_REQUEST = 64;
 
-/** Creates what an operator would publish for a scenario. */
+/** Creates the configuration objects that an operator would publish for a scenario. */
 export function createScenarioConfiguration(
   scenario: Scenario,
   upstreams: SampleUpstreams,
@@ -20,7 +20,9 @@
     ...scenario.workspaces.flatMap(({classes}) => classes).map(createTemplate),
     ...scenario.workspaces.map(createWorkspace),
   ];
-  return removeDoubles(objects.map(object => configObjectSchema.parse(object)));
+  return removeDuplicates(
+    objects.map(object => configObjectSchema.parse(object)),
+  );
 }
 
 function createPool(
@@ -48,7 +50,7 @@
 
 function getExpectedMs({pools}: Scenario, stage: StageKind): number {
   if (stage !== 'generate') return pools[stage].baseMs;
-  return pools.generate.stepMs * TOKENS_PER_WORK;
+  return pools.generate.stepMs * TOKENS_PER_REQUEST;
 }
 
 function createTemplate(requestClass: ScenarioClass): unknown {
@@ -91,8 +93,8 @@
   };
 }
 
-// Workspaces may have classes of the same name, which share a template.
-function removeDoubles(objects: readonly ConfigObject[]): ConfigObject[] {
+// Classes with the same name in several workspaces share a template.
+function removeDuplicates(objects: readonly ConfigObject[]): ConfigObject[] {
   const byId = new Map(
     objects.map(object => [`${object.kind}/${object.value.name}`, object]),
   );
--- a/packages/bench/src/scenario-faults.ts
+++ b/packages/bench/src/scenario-faults.ts
@@ -3,7 +3,7 @@
 import {match} from 'ts-pattern';
 import type {ScenarioFault} from './scenario.ts';
 
-/** Switches a scenario's faults in a system that runs in process. */
+/** Starts and ends a scenario's faults in a system that runs in this process. */
 export class ScenarioFaults {
   private readonly system: LocalSystem;
   private readonly network: MemoryNetwork;
@@ -13,7 +13,7 @@
     this.network = network;
   }
 
-  /** @throws HollowstackError `configuration-invalid` where the target does not exist. */
+  /** @throws HollowstackError `configuration-invalid` if the target does not exist. */
   startFault(fault: ScenarioFault): void {
     this.setFault(fault, true);
   }
@@ -59,8 +59,8 @@
     );
   }
 
-  // A failure domain takes its entry instances with it; callers' requests to
-  // them break, as with the platform's balancer until it notices.
+  // The entry instances of a failure domain are killed as well; callers' requests
+  // to them break, as they do until the platform's balancer detects the failure.
   private killTargets(fault: ScenarioFault): void {
     const instances = this.system.instances.filter(
       ({id, settings}) =>
--- a/packages/bench/src/scenario.ts
+++ b/packages/bench/src/scenario.ts
@@ -4,31 +4,31 @@
 
 const poolSchema = z.strictObject({
   upstreams: z.number().int().positive(),
-  /** Requests that one upstream works on at the same time. */
+  /** Maximum number of requests that one upstream processes at the same time. */
   slots: z.number().int().positive().default(4),
   /** Milliseconds for a request without input. */
   baseMs: z.number().positive(),
-  /** Milliseconds more for each 1,000 characters of input. */
+  /** Additional milliseconds per 1,000 characters of input. */
   perKilocharacterMs: z.number().nonnegative().default(0),
-  /** Share by which durations differ, 0 to 1. */
+  /** Relative variation of durations, 0 to 1. */
   spread: z.number().min(0).max(1).default(0.3),
   reportLagMs: z.number().nonnegative().default(1000),
 });
 
 const enginesSchema = z.strictObject({
   upstreams: z.number().int().positive(),
-  /** Sequences that one engine generates at the same time. */
+  /** Maximum number of sequences that one engine generates at the same time. */
   maxRunning: z.number().int().positive(),
-  /** Milliseconds a token takes with an empty batch. */
+  /** Milliseconds per token with an empty batch. */
   stepMs: z.number().positive(),
-  /** Milliseconds more for each sequence in the batch. */
+  /** Additional milliseconds per sequence in the batch. */
   perSequenceMs: z.number().nonnegative(),
-  /** Milliseconds for each 1,000 characters of prompt that are not cached. */
+  /** Milliseconds per 1,000 characters of prompt that are not cached. */
   prefillPerKilocharacterMs: z.number().nonnegative().default(40),
-  /** Blocks of 64 characters that the prefix cache holds. */
+  /** Capacity of the prefix cache in blocks of 64 characters. */
   cacheBlocks: z.number().int().nonnegative().default(400),
   reportLagMs: z.number().nonnegative().default(1000),
-  /** Every how many cache events one is lost; 0 for none. */
+  /** Every n-th cache event is lost; 0 for none. */
   loseCacheEventEvery: z.number().int().nonnegative().default(20),
 });
 
@@ -36,21 +36,21 @@
   name: z.string().regex(/^[a-z0-9-]+$/, 'use small letters, digits, dashes'),
   stages: z.array(z.enum(['encode', 'retrieve', 'rerank', 'generate'])).min(1),
   deadlineMs: z.number().int().positive(),
-  /** 0 goes first, 9 last. */
+  /** 0 is the most urgent, 9 the least. */
   priority: z.number().int().min(0).max(9),
   maxTokens: z.number().int().positive().default(16),
   /** Length of the input in characters. */
   inputCharacters: z.number().int().positive().default(200),
-  /** Characters at the input's begin that requests of the class share. */
+  /** Length of the input prefix that the requests of the class share, in characters. */
   sharedCharacters: z.number().int().nonnegative().default(0),
-  /** Requests a second at load 1. */
+  /** Requests per second at load 1. */
   requestsPerSecond: z.number().positive(),
 });
 
 const workspaceSchema = z.strictObject({
   name: z.string().regex(/^[a-z0-9-]+$/, 'use small letters, digits, dashes'),
   objective: z.enum(['attainment', 'cost']).default('attainment'),
-  /** Limit over all instances; none where it is left out. */
+  /** Rate limit across all instances; the default does not limit. */
   requestsPerSecond: z.number().positive().default(100_000),
   classes: z.array(classSchema).min(1),
 });
@@ -58,22 +58,22 @@
 const burstSchema = z.strictObject({
   fromMs: z.number().nonnegative(),
   untilMs: z.number().positive(),
-  /** Factor on the arrivals. */
+  /** Factor on the arrival rate during the burst. */
   factor: z.number().positive(),
-  /** Names of classes; all where it is left out. */
+  /** Names of the affected classes; all if omitted. */
   classes: z.array(z.string()).optional(),
 });
 
 const faultSchema = z.strictObject({
   atMs: z.number().nonnegative(),
-  /** When it ends; never where it is left out. */
+  /** Time at which the fault ends; never if omitted. */
   untilMs: z.number().positive().optional(),
   /** Name of a process (`engine-3`, `entry-1`, `platform`) or of a failure domain (`domain-a`). */
   target: z.string(),
   /**
-   * slow, wedged, failing, cutting, leaving: for upstreams; killed: for any
-   * process or a whole failure domain; down: for the platform's service;
-   * isolated: an entry instance is cut off from its peers; cold: engines lose
+   * slow, wedged, failing, cutting and leaving apply to upstreams; killed to any
+   * process or to a failure domain; down to the platform's service; isolated to an
+   * entry instance, which is cut off from its peers; cold to engines, which lose
    * their caches.
    */
   kind: z.enum([
@@ -96,14 +96,14 @@
   description: z.string().default(''),
   /** Entry instances. */
   instances: z.number().int().min(1).max(200),
-  /** Length of the measured part; requests of the warm-up do not count. */
+  /** Length of the measured part, without the warm-up. */
   durationMs: z.number().int().positive().max(600_000),
   warmupMs: z.number().int().nonnegative().default(4000),
   seeds: z.array(z.number().int()).min(1).default([1]),
   policies: z.array(z.enum(POLICY_NAMES)).min(1).default(['hollowstack']),
-  /** Factor on all arrivals. */
+  /** Factor on the arrival rates of all classes. */
   load: z.number().positive().default(1),
-  /** Milliseconds one way between processes, and between callers and instances. */
+  /** One-way latency between processes; callers have their own below. */
   latencyMs: z.number().nonnegative().default(0.3),
   callerLatencyMs: z.number().nonnegative().default(2),
   pools: z.strictObject({
@@ -116,7 +116,7 @@
   bursts: z.array(burstSchema).default([]),
   faults: z.array(faultSchema).default([]),
 });
-/** A scenario. */
+/** A scenario with all defaults set. */
 export type Scenario = z.infer<typeof scenarioSchema>;
 /** One class of requests of a workspace. */
 export type ScenarioClass = z.infer<typeof classSchema>;
@@ -127,7 +127,7 @@
  * Parses a scenario file.
  *
  * @param path Shown in errors.
- * @throws HollowstackError `configuration-invalid` with path, line or place.
+ * @throws HollowstackError `configuration-invalid` with the path and the line or key.
  */
 export function parseScenario(text: string, path: string): Scenario {
   return parseTomlFile(text, path, scenarioSchema);
--- a/packages/bench/src/summary-table.ts
+++ b/packages/bench/src/summary-table.ts
@@ -1,11 +1,11 @@
 import type {PolicySummary, SeedStatistics} from './results.ts';
 
-/** Formats summaries as a table in Markdown, percentages as mean (least to most). */
+/** Formats summaries as a Markdown table, with percentages as mean (minimum-maximum). */
 export function formatSummaryTable(
   summaries: readonly PolicySummary[],
 ): string {
   const classes = summaries[0].classes.map(summary => summary.class);
-  const head = [
+  const header = [
     'policy',
     'attainment %',
     'goodput /s',
@@ -21,16 +21,16 @@
     formatCost(summary),
     ...summary.classes.map(({attainment}) => formatPercent(attainment)),
   ]);
-  return [head, head.map(() => '---'), ...rows]
+  return [header, header.map(() => '---'), ...rows]
     .map(row => `| ${row.join(' | ')} |`)
     .join('\n');
 }
 
 function formatPercent({mean, min, max}: SeedStatistics): string {
-  const [middle, least, most] = [mean, min, max].map(value =>
+  const [meanText, minText, maxText] = [mean, min, max].map(value =>
     (value * 100).toFixed(1),
   );
-  return `${middle} (${least}-${most})`;
+  return `${meanText} (${minText}-${maxText})`;
 }
 
 function formatCost({costs}: PolicySummary): string {
--- a/packages/bench/src/svg-charts.ts
+++ b/packages/bench/src/svg-charts.ts
@@ -1,10 +1,10 @@
-/** One line of a chart. */
+/** One line of a line chart. */
 export interface Line {
   readonly label: string;
   readonly points: ReadonlyArray<{readonly x: number; readonly y: number}>;
 }
 
-/** One bar of a chart, made of parts. */
+/** One stacked bar of a bar chart. */
 export interface Bar {
   readonly label: string;
   readonly parts: ReadonlyArray<{
@@ -29,10 +29,10 @@
 const RIGHT = 150;
 const BOTTOM = 30;
 const TOP = 10;
-const TICKS = 5;
+const TICK_COUNT = 5;
 const BAR_HEIGHT = 24;
 
-/** Renders lines over a common axis from zero. */
+/** Renders a line chart as SVG; both axes start at zero. */
 export function renderLineChart(
   lines: readonly Line[],
   xLabel: string,
@@ -58,7 +58,7 @@
   ]);
 }
 
-/** Renders stacked bars, one below the other. */
+/** Renders horizontal stacked bars as SVG. */
 export function renderBarChart(bars: readonly Bar[], unit: string): string {
   const totals = bars.map(({parts}) =>
     parts.reduce((sum, {value}) => sum + value, 0),
@@ -83,8 +83,8 @@
 }
 
 function renderTicks(max: number, scale: (value: number) => number): string[] {
-  return Array.from({length: TICKS + 1}, (_, index) => {
-    const value = (max * index) / TICKS;
+  return Array.from({length: TICK_COUNT + 1}, (_, index) => {
+    const value = (max * index) / TICK_COUNT;
     const y = scale(value).toFixed(1);
     return `<line x1="${LEFT}" x2="${WIDTH - RIGHT}" y1="${y}" y2="${y}" stroke="#e5e5e5"/><text x="${LEFT - 6}" y="${y}" text-anchor="end" dominant-baseline="middle">${value.toFixed(0)}</text>`;
   });
