--- a/scripts/build-binary.ts
+++ b/scripts/build-binary.ts
@@ -12,18 +12,18 @@
 import {inject} from 'postject';
 import {createLazyModulesPlugin, type LazyModules} from './lazy-modules.ts';
 
-// Builds dist/hollowstack (or into the folder given): one bundle, put into a copy of the Node that runs
-// this script. The fuse is the marker that Node's single executables carry.
+// Builds a single executable in dist, or in the folder given as argument: one bundle, injected
+// into a copy of the Node that runs this script. The fuse is Node's marker for the injected blob.
 const SENTINEL_FUSE = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
-// An instance has one core at the most and a heap of some 20 MB, so that helping
-// threads of the garbage collector only cost it processor time: a start, ten idle
-// seconds and 150 requests take 1.67 s with this and 1.80 s without (sums of medians
-// of five runs by turns, npm run bench:process).
+// An instance has at most one core and a heap of some 20 MB, so helper threads of the
+// garbage collector only cost processor time: a start, ten idle seconds and 150 requests
+// take 1.67 s with this option and 1.80 s without (sums of medians of five alternating
+// runs, npm run bench:process).
 const RUNTIME_OPTIONS = ['--single-threaded-gc'];
 const root = fileURLToPath(new URL('..', import.meta.url));
 const dist = `${root}${process.argv[2] ?? 'dist'}`;
 
-/** Modules that cannot be in a snapshot: they open handles or create native objects. */
+/** Modules that a snapshot cannot contain: they open handles or create native objects. */
 const LAZY_MODULES: LazyModules = {
   builtins: [
     'async_hooks',
@@ -56,8 +56,8 @@
   target: 'node24',
   format: 'cjs',
   outfile: `${dist}/hollowstack.cjs`,
-  // Top-level await has no place in a CommonJS bundle, and the native speed-up
-  // of cbor-x cannot be carried in one file.
+  // A CommonJS bundle cannot contain top-level await, and a single file cannot contain
+  // the native add-on of cbor-x.
   external: ['cbor-extract'],
   minifyWhitespace: true,
   minifySyntax: true,
@@ -75,7 +75,7 @@
     execArgv: RUNTIME_OPTIONS,
   }),
 );
-// The runtime takes a snapshot only under the options that it was made with.
+// Node loads a snapshot only with the options with which it was created.
 execFileSync(process.execPath, [
   ...RUNTIME_OPTIONS,
   '--experimental-sea-config',
--- a/scripts/lazy-modules.ts
+++ b/scripts/lazy-modules.ts
@@ -3,26 +3,27 @@
 
 const NAMESPACE = 'lazy-module';
 
-/** Modules that a bundle loads at the first use of one of their exports. */
+/** Modules that a bundle loads when one of their exports is first used. */
 export interface LazyModules {
-  /** Names of the runtime's own modules, without `node:`. */
+  /** Names of Node's built-in modules, without `node:`. */
   readonly builtins: readonly string[];
-  /** Specifiers of modules of packages, and the folder they are found from. */
+  /** Specifiers of modules of packages. */
   readonly packages: readonly string[];
+  /** Folder from which the modules of packages are resolved. */
   readonly resolveDir: string;
 }
 
 /**
- * Creates a plugin that replaces an import of each of these modules by getters which
- * load it. The binary is a snapshot of the heap after all modules have run, and these
- * create objects that the runtime cannot put into a snapshot.
+ * Creates an esbuild plugin that replaces imports of these modules by getters that load
+ * them. The binary contains a snapshot of the heap after all modules have run, and these
+ * modules create objects that Node cannot put into a snapshot.
  */
 export function createLazyModulesPlugin(modules: LazyModules): Plugin {
   const requireFrom = createRequire(`${modules.resolveDir}/index.ts`);
   const builtins = new Set(modules.builtins);
   return {
     name: NAMESPACE,
-    // The name is esbuild's.
+    // esbuild prescribes the name.
     // eslint-disable-next-line @typescript-eslint/naming-convention
     setup(build) {
       build.onResolve({filter: /^(node:)?[a-z_]+(\/[a-z]+)?$/}, ({path}) => {
@@ -31,7 +32,7 @@
         return {path: `node:${name}`, namespace: NAMESPACE};
       });
       build.onResolve({filter: /./}, ({path, namespace}) => {
-        // The getters themselves need the real module.
+        // The getters need the real module.
         if (namespace === NAMESPACE) return undefined;
         if (!modules.packages.includes(path)) return undefined;
         return {path, namespace: NAMESPACE};
--- a/scripts/postject.d.ts
+++ b/scripts/postject.d.ts
@@ -1,5 +1,5 @@
 declare module 'postject' {
-  /** Puts a resource into an executable file. */
+  /** Injects a resource into an executable file. */
   export function inject(
     filename: string,
     resourceName: string,
--- a/scripts/proofs.ts
+++ b/scripts/proofs.ts
@@ -1,13 +1,13 @@
-/** A mechanism that can be switched off by one change, and the test that then fails. */
+/** A mechanism that one source change disables, and the check that then fails. */
 export interface Proof {
   /** The promise that the mechanism keeps. */
   readonly promise: string;
   readonly mechanism: string;
-  /** Path below the root. */
+  /** Path of the changed file, relative to the root. */
   readonly file: string;
   readonly from: string;
   readonly to: string;
-  /** Seed of the fuzz run that notices, or the test file that does. */
+  /** Seed of the fuzz run that then fails, or path of the test file. */
   readonly noticedBy: number | string;
 }
 
@@ -23,7 +23,7 @@
   },
   {
     promise: 'at most once',
-    mechanism: 'what may have left is not sent a second time',
+    mechanism: 'a request that may have been sent is not sent again',
     file: 'packages/admission/src/retry-decision.ts',
     from: "if (input.mayHaveRun && !input.isRepeatable) return 'not-repeatable';",
     to: '',
@@ -47,7 +47,7 @@
   },
   {
     promise: 'no result lost, doubled or handed to another',
-    mechanism: 'the attempt id that comes back is compared',
+    mechanism: 'the returned attempt id is compared',
     file: 'packages/pipeline/src/attempt.ts',
     from: 'if (echo !== undefined && echo !== this.attemptId) {',
     to: 'if (echo === undefined) {',
@@ -55,15 +55,16 @@
   },
   {
     promise: 'no result lost, doubled or handed to another',
-    mechanism: 'a cut stream goes on from the tokens that were received',
+    mechanism:
+      'an interrupted stream resumes after the tokens already received',
     file: 'packages/pipeline/src/stage-calls.ts',
     from: "prompt: this.prompt + this.received.join(''),",
     to: 'prompt: this.prompt,',
     noticedBy: 1,
   },
   {
-    promise: 'every caller has its whole answer',
-    mechanism: 'a stream without its end marker is not whole',
+    promise: 'every caller gets its complete answer',
+    mechanism: 'a stream without its end marker is incomplete',
     file: 'packages/pipeline/src/stage-calls.ts',
     from: "throw new AttemptError('broken', 'the stream ended without its end marker');",
     to: 'return;',
@@ -79,7 +80,7 @@
   },
   {
     promise: 'a leaving upstream gets no new work',
-    mechanism: "the platform's list takes an upstream out",
+    mechanism: "the platform's list of leaving upstreams is observed",
     file: 'packages/entry/src/leaving-upstreams.ts',
     from: "list.getInstance(name, id)?.state === 'leaving';",
     to: 'list.getInstance(name, id) === undefined;',
@@ -127,7 +128,7 @@
   },
   {
     promise: 'a routed request that may run once runs at most once',
-    mechanism: 'what may have left is not sent a second time',
+    mechanism: 'a request that may have been sent is not sent again',
     file: 'packages/gateway/src/request-runner.ts',
     from: 'if (!isRepeatable(route) || outcome.isOwnEnd) return false;',
     to: '',
@@ -135,7 +136,7 @@
   },
   {
     promise: 'a refusal promises that nothing has run',
-    mechanism: 'a request counts as run, perhaps, from before it is sent',
+    mechanism: 'a request counts as possibly run before it is sent',
     file: 'packages/gateway/src/attempt.ts',
     from: "request.recordRan('unknown');",
     to: '',
@@ -143,7 +144,7 @@
   },
   {
     promise: 'every answer is the caller’s own',
-    mechanism: 'the id that comes back is compared',
+    mechanism: 'the returned request id is compared',
     file: 'packages/gateway/src/attempt.ts',
     from: 'if (head.headers[names.requestId] !== request.facts.requestId) {',
     to: 'if (head.headers[names.requestId] === undefined) {',
@@ -158,8 +159,8 @@
     noticedBy: 'platform/src/whole-path.test.ts',
   },
   {
-    promise: 'a stream is whole or does not look complete',
-    mechanism: 'only whole events are passed on',
+    promise: 'an incomplete stream never looks complete',
+    mechanism: 'only complete events are forwarded',
     file: 'packages/gateway/src/event-splitter.ts',
     from: 'this.rest = bytes.subarray(end);',
     to: 'this.rest = bytes.subarray(bytes.length);',
@@ -167,7 +168,7 @@
   },
   {
     promise: 'a leaving upstream gets no new work',
-    mechanism: 'an upstream that was leaving never comes back under its id',
+    mechanism: 'an upstream that was leaving never returns under its id',
     file: 'packages/gateway/src/upstream-registry.ts',
     from: 'const isLeaving = parsed.isLeaving || this.leftIds.has(parsed.id);',
     to: 'const isLeaving = parsed.isLeaving;',
@@ -175,7 +176,7 @@
   },
   {
     promise: 'a leaving upstream gets no new work',
-    mechanism: 'what a whole reading does not name is gone',
+    mechanism: 'an upstream that a full read does not list is removed',
     file: 'packages/gateway/src/upstream-registry.ts',
     from: 'if (!listed.has(key) && !hasNewerChange(key))',
     to: '',
@@ -183,7 +184,7 @@
   },
   {
     promise: 'a leaving upstream gets no new work',
-    mechanism: 'a call of the watch without an answer is made again',
+    mechanism: 'a watch request without an answer is retried',
     file: 'packages/store/src/polled-watch.ts',
     from: 'call.waitMs + marginMs,',
     to: 'call.waitMs + 100 * marginMs,',
@@ -191,7 +192,7 @@
   },
   {
     promise: 'a leaving upstream gets no new work',
-    mechanism: 'a stream to a peer that has fallen silent is closed',
+    mechanism: 'an unresponsive stream to a peer is closed',
     file: 'packages/peers/src/peer-stream.ts',
     from: 'return this.clock.getNow() - this.unansweredSinceMs >= SILENT_AFTER_MS;',
     to: 'return false;',
@@ -199,7 +200,7 @@
   },
   {
     promise: 'a leaving upstream gets no new work',
-    mechanism: 'kept connections are not trusted after one of them failed',
+    mechanism: 'idle connections are not reused after one of them has failed',
     file: 'packages/transport/src/node-http-client.ts',
     from: 'if (outgoing.reusedSocket) this.closeIdle(host, port);',
     to: '',
@@ -207,7 +208,7 @@
   },
   {
     promise: 'a leaving upstream gets no new work',
-    mechanism: 'peers end a grace that nobody else needs',
+    mechanism: 'a peer with a complete and equal view ends the grace period',
     file: 'packages/gateway/src/gossip-exchange.ts',
     from: 'if (!reply.isProvisional && !reply.isDigestOther) {',
     to: 'if (reply.isProvisional && !reply.isDigestOther) {',
@@ -215,7 +216,7 @@
   },
   {
     promise: 'a leaving upstream gets no new work',
-    mechanism: 'it is asked again once the connection stands',
+    mechanism: 'a call is checked again once its connection is established',
     file: 'packages/transport/src/single-call.ts',
     from: 'if (request.mayStillSend?.() === false) {',
     to: 'if (request.mayStillSend === null) {',
@@ -223,7 +224,8 @@
   },
   {
     promise: 'a leaving upstream gets no new work',
-    mechanism: 'a request does not go back to its only upstream that leaves',
+    mechanism:
+      'a request is not retried at its only upstream if that is leaving',
     file: 'packages/gateway/src/request-runner.ts',
     from: 'if (!upstream || pool.isTakingWork(upstream.id)) return upstream;',
     to: 'return upstream;',
@@ -238,15 +240,15 @@
     noticedBy: 'platform/src/whole-path.test.ts',
   },
   {
-    promise: 'nothing is decided for good by a stale view of the store',
-    mechanism: 'what is unknown is refused for good only by a confirmed view',
+    promise: 'no final decision is based on a stale view of the store',
+    mechanism: 'only a confirmed view finally refuses an unknown route or key',
     file: 'packages/gateway/src/gateway-request-handler.ts',
     from: 'if (!(await freshnessGuard.mayRefuseUnknown())) {',
     to: 'if (freshnessGuard === null) {',
     noticedBy: 'platform/src/stale-instance.test.ts',
   },
   {
-    promise: 'nothing is decided for good by a stale view of the store',
+    promise: 'no final decision is based on a stale view of the store',
     mechanism: 'a request waits for the refresh of a stale view',
     file: 'packages/freshness/src/freshness-guard.ts',
     from: 'if (!failed) return true;',
@@ -254,24 +256,24 @@
     noticedBy: 'platform/src/stale-instance.test.ts',
   },
   {
-    promise: 'nothing is decided for good by a stale view of the store',
-    mechanism: 'evidence waits for the reading that a new watch needs',
+    promise: 'no final decision is based on a stale view of the store',
+    mechanism: 'a new watch proves nothing before its full read',
     file: 'packages/gateway/src/store-follower.ts',
     from: 'if (!this.isReadDue) this.parts.handleKnownUntil(this.knownUntilMs);',
     to: 'this.parts.handleKnownUntil(this.knownUntilMs);',
     noticedBy: 'packages/gateway/src/view-freshness.test.ts',
   },
   {
-    promise: 'nothing is decided for good by a stale view of the store',
-    mechanism: 'a peer that knows more confirms nothing',
+    promise: 'no final decision is based on a stale view of the store',
+    mechanism: 'a peer with a newer revision does not confirm the view',
     file: 'packages/gateway/src/gossip-state.ts',
     from: 'routeHolder.getRevision() >= reply.configurationRevision &&',
     to: '',
     noticedBy: 'packages/gateway/src/view-freshness.test.ts',
   },
   {
-    promise: 'a change is learnt, whatever happens to readings',
-    mechanism: 'content after a gap claims no revision that it may lack',
+    promise: 'a change arrives, whatever happens to full reads',
+    mechanism: 'content after a gap does not claim a revision that it may lack',
     file: 'packages/gateway/src/content-revision.ts',
     from: 'if (!this.hasGap) this.complete = this.newest;',
     to: 'this.complete = this.newest;',
@@ -286,7 +288,7 @@
     noticedBy: 'platform/src/whole-path.test.ts',
   },
   {
-    promise: 'nothing is worked on for a caller that has left',
+    promise: 'no work is done for a caller that has disconnected',
     mechanism: 'the connection to the upstream is closed with the caller’s',
     file: 'packages/gateway/src/attempt.ts',
     from: "request.signal.addEventListener('abort', cancelCall, {once: true});",
@@ -296,7 +298,7 @@
   {
     promise: 'the bound on retries is kept over all instances',
     mechanism:
-      'an instance takes its part of the burst, and less for lives before',
+      'an instance uses only part of its burst, as earlier starts may have retried',
     file: 'packages/gateway/src/window-retry-budget.ts',
     from: 'const BURST_SHARE = 0.4;',
     to: 'const BURST_SHARE = 1;',
@@ -304,23 +306,23 @@
   },
   {
     promise: 'a planned stop cuts no request',
-    mechanism: 'the gateway goes on until nothing is in progress',
+    mechanism: 'the gateway runs until no request is in progress',
     file: 'packages/gateway/src/gateway.ts',
     from: 'while (!isOver()) {',
     to: 'while (!isOver) {',
     noticedBy: 'platform/src/whole-path.test.ts',
   },
   {
-    promise: 'a request that crashes upstreams is kept from further ones',
-    mechanism: 'it is refused from the third crash in a row on',
+    promise: 'a request that crashes upstreams is not sent to further ones',
+    mechanism: 'it is refused after the third sequential crash',
     file: 'packages/quarantine/src/suspect-table.ts',
     from: 'const isQuarantined = this.countHeld(suspect) >= QUARANTINE_CRASHES;',
     to: 'const isQuarantined = this.countHeld(suspect) < 0;',
     noticedBy: 'packages/quarantine/src/suspect-table.test.ts',
   },
   {
-    promise: 'a request that crashes upstreams is kept from further ones',
-    mechanism: 'what ran beside it is not held responsible',
+    promise: 'a request that crashes upstreams is not sent to further ones',
+    mechanism: 'requests that ran beside it are not suspected',
     file: 'packages/quarantine/src/suspect-table.ts',
     from: 'return countSequentialCrashes(crashes, new Set(explained));',
     to: 'return countSequentialCrashes(crashes, new Set(explained.slice(0, 0)));',
@@ -328,7 +330,7 @@
   },
   {
     promise: 'time counts while the machine is suspended',
-    mechanism: 'the clock goes on by what wall and boot-time clock have passed',
+    mechanism: 'the clock advances with the wall clock and the boot-time clock',
     file: 'packages/clock/src/system-clock.ts',
     from: 'this.originMs += suspendedMs;',
     to: '',
--- a/scripts/prove-proofs.ts
+++ b/scripts/prove-proofs.ts
@@ -14,10 +14,10 @@
 import {fileURLToPath} from 'node:url';
 import {PROOFS, type Proof} from './proofs.ts';
 
-// Switches each mechanism off in a scratch copy and shows that the fuzzer
-// notices. A mechanism whose absence goes unnoticed is not proved.
+// Disables each mechanism in a scratch copy and checks that the fuzz run or test
+// of its proof fails. A mechanism whose absence no check detects is not proved.
 const root = fileURLToPath(new URL('..', import.meta.url));
-/** A mechanism that is off may leave a test waiting for ever. */
+/** Without its mechanism, a test may wait forever. */
 const TEST_TIMEOUT = '--test-timeout=60000';
 const RUNS = process.argv[2] ?? '1200';
 const PROMISE_LINE = /\[cause\]: Error: ([^:]+(: no)?[^:]*):/;
@@ -26,12 +26,12 @@
 
 interface Verdict {
   readonly proof: Proof;
-  /** The broken promise in the fuzzer's words; undefined where nothing broke. */
+  /** The broken promise or failed test that was reported; undefined if none was. */
   readonly broken: string | undefined;
 }
 
 const SELECTED = process.argv[3] ?? '';
-/** The proofs whose file's path holds the text of the second argument. */
+/** The proofs whose file path contains the second argument. */
 const queue = PROOFS.filter(({file}) => file.includes(SELECTED));
 const verdicts: Verdict[] = [];
 const workers = Array.from(
@@ -94,7 +94,8 @@
   writeFileSync(path, collapsed.replace(formatCollapsed(from), to));
 }
 
-// Line breaks are the formatter's; a change is found wherever it puts them.
+// Collapses white space and drops comment lines, so that a quote is found wherever the
+// formatter breaks lines.
 function formatCollapsed(text: string): string {
   return text
     .split('\n')
--- a/scripts/run-tests.ts
+++ b/scripts/run-tests.ts
@@ -1,5 +1,5 @@
-// Runs the tests. With --pass-known-red it passes over those that KNOWN-RED.txt
-// names, and prints them: faults that are known and not mended yet.
+// Runs the tests. With --pass-known-red it skips and prints the tests that
+// KNOWN-RED.txt lists: known faults that are not fixed yet.
 import {spawn} from 'node:child_process';
 import {existsSync, readFileSync} from 'node:fs';
 
@@ -10,7 +10,7 @@
   'examples/**/*.test.ts',
 ];
 
-/** Lists the names of tests that are known to fail; each line is "name | cause | issue". */
+/** Lists the names of tests known to fail; each line is "name | cause | issue". */
 function listKnownRed(): string[] {
   if (!existsSync(KNOWN_RED_FILE)) return [];
   const lines = readFileSync(KNOWN_RED_FILE, 'utf8').split('\n');
