--- a/examples/embedded-routing.test.ts
+++ b/examples/embedded-routing.test.ts
@@ -6,7 +6,7 @@
 } from '@hollowstack/local-system';
 import {runEmbedded} from './embedded-routing.ts';
 
-test('a program of its own follows the configuration and takes the same decisions', async t => {
+test('an embedding program follows the configuration and makes the same decisions', async t => {
   const system = new LocalSystem(new LoopbackNetwork(), {
     instances: 1,
     encoders: 1,
--- a/examples/embedded-routing.ts
+++ b/examples/embedded-routing.ts
@@ -19,28 +19,28 @@
 } from '@hollowstack/routing';
 import {NodeHttpClient} from '@hollowstack/transport';
 
-/** What the program below found out. */
-export interface EmbeddingReport {
+/** Results of the example program. */
+export interface EmbeddedRoutingReport {
   /** Revision in force, read by the configuration follower. */
   readonly revision: number;
-  /** The upstream chosen among three, of which one is out and one is busy. */
+  /** The upstream chosen from an idle, a busy and an unhealthy one. */
   readonly chosen: string | undefined;
   readonly isReachable: boolean;
   readonly shares: readonly number[];
 }
 
-const EXPECTED_MS = 40;
+const EXPECTED_DURATION_MS = 40;
 const SLOTS = 4;
 
 /**
- * A program of your own that uses parts of hollowstack without its daemon:
- * it follows the published configuration and takes the same decisions.
+ * Example of a program that uses packages of hollowstack without its daemon: it follows
+ * the published configuration and makes the same decisions as an instance.
  *
- * @param platformAddress IP number and port of the platform's service.
+ * @param platformAddress IP address and port of the platform's service.
  */
 export async function runEmbedded(
   platformAddress: string,
-): Promise<EmbeddingReport> {
+): Promise<EmbeddedRoutingReport> {
   const clock = new SystemClock();
   const client = new NodeHttpClient();
   const store = new GatewayStore(client, clock, {
@@ -65,7 +65,7 @@
       nowMs: 0,
       deadlineMs: 100,
       waitMs: 20,
-      remainingMs: EXPECTED_MS,
+      remainingMs: EXPECTED_DURATION_MS,
       requiredShare: 0.95,
     }).isReachable,
     shares: computeShares(100, [
@@ -92,7 +92,7 @@
     .map(({id, load}) => ({
       id,
       ownInFlight: load.ownInFlight,
-      predictedMs: predictDurationMs(load, EXPECTED_MS, SLOTS),
+      predictedMs: predictDurationMs(load, EXPECTED_DURATION_MS, SLOTS),
     }));
   const selector = new PredictedFinishSelector(Math.random);
   return selector.chooseUpstream({candidates, affinityKey: undefined})?.id;
