--- a/packages/bench/src/arrivals.ts
+++ b/packages/bench/src/arrivals.ts
@@ -47,7 +47,7 @@
   while (true) {
     atMs += (-Math.log(1 - random()) / peakRate) * 1000;
     if (atMs >= durationMs) return arrivals;
-    const factor = getFactor(scenario, requestClass.name, atMs);
+    const factor = getBurstFactor(scenario, requestClass.name, atMs);
     const isAccepted = random() < factor / peakFactor;
     const draw = random();
     const input = createInput(workspace, requestClass, random);
@@ -63,7 +63,7 @@
   }
 }
 
-function getFactor(
+function getBurstFactor(
   scenario: Scenario,
   className: string,
   atMs: number,
--- a/packages/bench/src/in-process-run.ts
+++ b/packages/bench/src/in-process-run.ts
@@ -18,7 +18,7 @@
 
 const START_TIMEOUT_MS = 60_000;
 /** Time after the last deadline for which late answers are awaited. */
-const TAIL_MS = 1000;
+const LATE_ANSWER_WAIT_MS = 1000;
 const CALLERS = 'callers';
 
 /** A result with the request id under which upstreams record their work. */
@@ -108,7 +108,9 @@
     const longestMs = Math.max(
       ...arrivals.map(arrival => arrival.class.deadlineMs),
     );
-    await this.clock.advance(warmupMs + durationMs + longestMs + TAIL_MS);
+    await this.clock.advance(
+      warmupMs + durationMs + longestMs + LATE_ANSWER_WAIT_MS,
+    );
   }
 
   getResult(policy: PolicyName, seed: number): RunResult {
--- a/packages/bench/src/relay-main.ts
+++ b/packages/bench/src/relay-main.ts
@@ -13,8 +13,8 @@
 // stand-ins and the callers are separate processes.
 const REQUESTS_PER_SECOND = 200;
 const LATENCY_SECONDS = 5;
-const STREAMS = 64;
-const STREAM_TOKENS = 2000;
+const STREAM_COUNT = 64;
+const TOKENS_PER_STREAM = 2000;
 const IDLE_SECONDS = 10;
 
 const fleet = new ProcessFleet({
@@ -24,7 +24,7 @@
   rerankers: 1,
   engines: 2,
   engineArguments: [
-    ...['--max-running', String(STREAMS), '--step-ms', '1'],
+    ...['--max-running', String(STREAM_COUNT), '--step-ms', '1'],
     ...['--per-sequence-ms', '0'],
   ],
 });
@@ -51,7 +51,7 @@
   if (object.kind === 'pool') {
     return {
       ...object,
-      value: {...object.value, concurrencyPerUpstream: STREAMS},
+      value: {...object.value, concurrencyPerUpstream: STREAM_COUNT},
     };
   }
   if (object.kind !== 'workspace') return object;
@@ -63,7 +63,7 @@
       ...chat,
       template: 'long',
       deadlineMs: 60_000,
-      maxTokens: STREAM_TOKENS,
+      maxTokens: TOKENS_PER_STREAM,
     },
   };
   return {...object, value: {...object.value, pipelines}};
@@ -112,7 +112,7 @@
   const times = new LatencyHistogram();
   const count = REQUESTS_PER_SECOND * LATENCY_SECONDS;
   const startMs = clock.getNow() + 100;
-  const sending = Array.from(
+  const pendingCalls = Array.from(
     {length: count},
     (_, number) =>
       new Promise<void>((resolve, reject) => {
@@ -126,25 +126,25 @@
         });
       }),
   );
-  await Promise.all(sending);
+  await Promise.all(pendingCalls);
   return times;
 }
 
 async function measureTokens(caller: SystemCaller): Promise<void> {
-  const before = await readProcess(caller);
+  const before = await readProcessMetrics(caller);
   const startedMs = clock.getNow();
   const answers = await Promise.all(
-    Array.from({length: STREAMS}, (_, number) =>
+    Array.from({length: STREAM_COUNT}, (_, number) =>
       caller.runStreamedPipeline('lima-centro', 'long', `stream ${number}`),
     ),
   );
   const seconds = (clock.getNow() - startedMs) / 1000;
-  const after = await readProcess(caller);
+  const after = await readProcessMetrics(caller);
   const completeCount = answers.filter(({end}) => end !== undefined).length;
-  const tokens = completeCount * STREAM_TOKENS;
+  const tokens = completeCount * TOKENS_PER_STREAM;
   const processorSeconds = after.processorSeconds - before.processorSeconds;
   console.log(
-    `${completeCount} of ${STREAMS} streams complete, ${tokens} tokens in ${seconds.toFixed(2)} s`,
+    `${completeCount} of ${STREAM_COUNT} streams complete, ${tokens} tokens in ${seconds.toFixed(2)} s`,
   );
   console.log(
     `entry: ${((processorSeconds * 1e6) / tokens).toFixed(1)} us of processor time per token, that is ${(tokens / processorSeconds).toFixed(0)} tokens/s on one core`,
@@ -152,9 +152,9 @@
 }
 
 async function measureIdle(caller: SystemCaller): Promise<void> {
-  const before = await readProcess(caller);
+  const before = await readProcessMetrics(caller);
   await new Promise(resolve => setTimeout(resolve, IDLE_SECONDS * 1000));
-  const after = await readProcess(caller);
+  const after = await readProcessMetrics(caller);
   const share =
     (after.processorSeconds - before.processorSeconds) / IDLE_SECONDS;
   console.log(
@@ -162,14 +162,14 @@
   );
 }
 
-async function readProcess(
+async function readProcessMetrics(
   caller: SystemCaller,
 ): Promise<{processorSeconds: number; residentBytes: number}> {
   const text = await caller.readText('/metrics');
-  const find = (name: string) =>
+  const findValue = (name: string) =>
     Number(new RegExp(`^${name} (.+)$`, 'm').exec(text)?.[1]);
   return {
-    processorSeconds: find('process_cpu_seconds_total'),
-    residentBytes: find('process_resident_memory_bytes'),
+    processorSeconds: findValue('process_cpu_seconds_total'),
+    residentBytes: findValue('process_resident_memory_bytes'),
   };
 }
--- a/packages/bench/src/remote-run.ts
+++ b/packages/bench/src/remote-run.ts
@@ -20,20 +20,20 @@
   addresses: readonly string[],
   seed: number,
 ): Promise<RunResult> {
-  const foreign = addresses.find(address => !LOOPBACK.test(address));
-  if (foreign) throw new Error(`${foreign} is not a loopback address`);
+  const invalid = addresses.find(address => !LOOPBACK.test(address));
+  if (invalid) throw new Error(`${invalid} is not a loopback address`);
   const clock = new SystemClock();
   const client = new NodeHttpClient();
   const callers = addresses.map(address => new SystemCaller(client, address));
   const startMs = clock.getNow() + scenario.warmupMs;
-  const sending: Array<Promise<RequestResult>> = [];
+  const pendingResults: Array<Promise<RequestResult>> = [];
   for (const arrival of createArrivals(scenario, seed)) {
     const delayMs = startMs + arrival.atMs - clock.getNow();
     if (delayMs > 0) await waitFor(clock, delayMs);
     const index = Math.floor(arrival.balancerDraw * callers.length);
-    sending.push(sendArrival(callers[index], arrival, clock, startMs));
+    pendingResults.push(sendArrival(callers[index], arrival, clock, startMs));
   }
-  const results = await Promise.all(sending);
+  const results = await Promise.all(pendingResults);
   client.close();
   return {
     policy: 'hollowstack',
--- a/packages/cli/src/commands/config/history.ts
+++ b/packages/cli/src/commands/config/history.ts
@@ -15,7 +15,7 @@
   });
 
   protected async runCommand(): Promise<number> {
-    const answer = await this.callEntry('GET', 'history');
+    const answer = await this.callInstance('GET', 'history');
     const {changes} = historySchema.parse(answer);
     if (this.json) this.print(JSON.stringify(changes, undefined, 2));
     else for (const change of changes) this.print(formatChange(change));
--- a/packages/cli/src/commands/config/publish.ts
+++ b/packages/cli/src/commands/config/publish.ts
@@ -49,7 +49,7 @@
     );
     const changeId = this.changeId ?? randomUUID();
     if (!this.json) this.print(`change ${changeId}`);
-    const published = (await this.callEntry('POST', 'configuration', {
+    const published = (await this.callInstance('POST', 'configuration', {
       changeId,
       author: this.author ?? userInfo().username,
       baseRevision,
--- a/packages/cli/src/commands/config/restore.ts
+++ b/packages/cli/src/commands/config/restore.ts
@@ -24,7 +24,7 @@
   });
 
   protected async runCommand(): Promise<number> {
-    const published = (await this.callEntry('POST', 'restore', {
+    const published = (await this.callInstance('POST', 'restore', {
       changeId: randomUUID(),
       author: this.author ?? userInfo().username,
     })) as PublishResult;
--- a/packages/cli/src/commands/config/show.ts
+++ b/packages/cli/src/commands/config/show.ts
@@ -17,7 +17,7 @@
   });
 
   protected async runCommand(): Promise<number> {
-    const answer = await this.callEntry('GET', 'configuration');
+    const answer = await this.callInstance('GET', 'configuration');
     const {head, objects} = configurationSnapshotSchema.parse(answer);
     if (this.json) this.print(JSON.stringify({head, objects}, undefined, 2));
     else this.print(renderConfigurationToml(objects, head.revision));
--- a/packages/cli/src/commands/demo/index.ts
+++ b/packages/cli/src/commands/demo/index.ts
@@ -75,7 +75,7 @@
     const answer = await caller.runPipeline('lima-centro', 'chat', CHAT_INPUT);
     const body = answerSchema.parse(answer.body);
     this.printAnswer(body.output.text, body.stages);
-    this.check(body.output.text === computeChatText(CHAT_INPUT), 'chat');
+    this.checkAnswer(body.output.text === computeChatText(CHAT_INPUT), 'chat');
     return body.requestId;
   }
 
@@ -87,8 +87,8 @@
       SUMMARY_INPUT,
     );
     this.printAnswer(answer.text, readStages(answer.end));
-    const isRight = answer.text === computeSummaryText(SUMMARY_INPUT);
-    this.check(isRight && answer.end !== undefined, 'summary');
+    const isCorrect = answer.text === computeSummaryText(SUMMARY_INPUT);
+    this.checkAnswer(isCorrect && answer.end !== undefined, 'summary');
   }
 
   private async runBooking(
@@ -106,13 +106,16 @@
       );
     const first = await send();
     const second = await send();
-    const runs = system.bookings[0].standIn.getRunCount(
+    const runCount = system.bookings[0].standIn.getRunCount(
       JSON.stringify(booking),
     );
     this.print(
-      `  status ${first.status} and ${second.status}, ran ${runs} time`,
+      `  status ${first.status} and ${second.status}, ran ${runCount} time`,
+    );
+    this.checkAnswer(
+      runCount === 1 && second.status === first.status,
+      'booking',
     );
-    this.check(runs === 1 && second.status === first.status, 'booking');
   }
 
   private async runRefusedChat(caller: SystemCaller): Promise<void> {
@@ -121,10 +124,10 @@
       'hollowstack-deadline-ms': '5',
     });
     this.printProblem(answer);
-    const isRight =
+    const isCorrect =
       answer.problem?.kind === 'deadline-unreachable' &&
       answer.problem.ran === 'no';
-    this.check(isRight, 'refusal');
+    this.checkAnswer(isCorrect, 'refusal');
   }
 
   private async runWhy(caller: SystemCaller, requestId: string): Promise<void> {
@@ -132,7 +135,7 @@
       'The decisions about the chat turn, asked of the other instance:',
     );
     const answer = await caller.callOperator('GET', `why/${requestId}`);
-    this.check(answer.status === 200, 'why');
+    this.checkAnswer(answer.status === 200, 'why');
     if (answer.status !== 200) return;
     this.print(renderDecisions(answer.body as RequestDecisions));
     this.print('');
@@ -157,8 +160,8 @@
     this.print(`  ${problem?.detail}\n`);
   }
 
-  private check(isRight: boolean, step: string): void {
-    if (isRight) return;
+  private checkAnswer(isCorrect: boolean, step: string): void {
+    if (isCorrect) return;
     this.failures += 1;
     this.context.stderr.write(`${step}: the answer is wrong\n`);
   }
--- a/packages/cli/src/commands/limits/list.ts
+++ b/packages/cli/src/commands/limits/list.ts
@@ -18,7 +18,7 @@
   });
 
   protected async runCommand(): Promise<number> {
-    const {limits} = (await this.callEntry('GET', 'limits')) as {
+    const {limits} = (await this.callInstance('GET', 'limits')) as {
       limits: LimitReport[];
     };
     if (this.json) this.print(JSON.stringify(limits, undefined, 2));
--- a/packages/cli/src/commands/quarantine/list.ts
+++ b/packages/cli/src/commands/quarantine/list.ts
@@ -19,7 +19,7 @@
   });
 
   protected async runCommand(): Promise<number> {
-    const {requests} = (await this.callEntry('GET', 'quarantine')) as {
+    const {requests} = (await this.callInstance('GET', 'quarantine')) as {
       requests: SuspectReport[];
     };
     if (this.json) this.print(JSON.stringify(requests, undefined, 2));
--- a/packages/cli/src/commands/quarantine/release.ts
+++ b/packages/cli/src/commands/quarantine/release.ts
@@ -23,7 +23,7 @@
 
   protected async runCommand(): Promise<number> {
     const path = `quarantine/${encodeURIComponent(this.fingerprint)}`;
-    await this.callEntry('DELETE', path);
+    await this.callInstance('DELETE', path);
     this.print(`${this.fingerprint} is served again`);
     return 0;
   }
--- a/packages/cli/src/commands/status/index.ts
+++ b/packages/cli/src/commands/status/index.ts
@@ -14,7 +14,7 @@
   });
 
   protected async runCommand(): Promise<number> {
-    const status = (await this.callEntry('GET', 'status')) as InstanceStatus;
+    const status = (await this.callInstance('GET', 'status')) as InstanceStatus;
     if (this.json) this.print(JSON.stringify(status, undefined, 2));
     else this.print(formatStatus(status));
     return 0;
--- a/packages/cli/src/commands/why/index.ts
+++ b/packages/cli/src/commands/why/index.ts
@@ -19,7 +19,7 @@
 
   protected async runCommand(): Promise<number> {
     const path = `why/${encodeURIComponent(this.requestId)}`;
-    const record = (await this.callEntry('GET', path)) as RequestDecisions;
+    const record = (await this.callInstance('GET', path)) as RequestDecisions;
     if (this.json) this.print(JSON.stringify(record, undefined, 2));
     else this.print(renderDecisions(record));
     return 0;
--- a/packages/cli/src/operator-command.ts
+++ b/packages/cli/src/operator-command.ts
@@ -40,7 +40,7 @@
    *
    * @throws HollowstackError `not-ready` without an answer, else of the answer's kind.
    */
-  protected async callEntry(
+  protected async callInstance(
     method: string,
     call: string,
     body?: unknown,
--- a/packages/logger/src/bounded-event-logger.test.ts
+++ b/packages/logger/src/bounded-event-logger.test.ts
@@ -7,7 +7,7 @@
   type EventName,
 } from './index.ts';
 
-class ListingLogger extends EventLogger {
+class RecordingLogger extends EventLogger {
   readonly lines: Array<{name: EventName; fields: EventFields}> = [];
 
   logEvent(name: EventName, fields: EventFields = {}): void {
@@ -17,21 +17,21 @@
 
 test('a burst stays within the limit, warnings are dropped last and drops are counted', () => {
   let nowMs = 0;
-  const target = new ListingLogger();
+  const target = new RecordingLogger();
   const logger = new BoundedEventLogger(target, () => nowMs, {
     linesPerSecond: 10,
     burst: 20,
     backlogBytes: 1000,
   });
   for (let line = 0; line < 100; line++) logger.logEvent('request.settled');
-  const ordinary = target.lines.length;
-  assert.ok(ordinary >= 10 && ordinary <= 11, `${ordinary}`);
+  const infoLineCount = target.lines.length;
+  assert.ok(infoLineCount >= 10 && infoLineCount <= 11, `${infoLineCount}`);
   logger.logEvent('attempt.failed');
   const names = target.lines.map(({name}) => name);
   assert.equal(names.at(-2), 'attempt.failed');
   assert.equal(names.at(-1), 'log.omitted');
   assert.deepEqual(target.lines.at(-1)?.fields, {
-    'request.settled': 100 - ordinary,
+    'request.settled': 100 - infoLineCount,
   });
   for (let line = 0; line < 100; line++) logger.logEvent('attempt.failed');
   assert.ok(target.lines.length <= 20);
@@ -42,7 +42,7 @@
 
 test('events are dropped and counted while the reader of the output lags behind', () => {
   let backlogBytes = 0;
-  const target = new ListingLogger();
+  const target = new RecordingLogger();
   const logger = new BoundedEventLogger(
     target,
     () => 0,
--- a/packages/types/src/glossary.test.ts
+++ b/packages/types/src/glossary.test.ts
@@ -4,14 +4,14 @@
 
 const ROOT = new URL('../../../', import.meta.url);
 
-function listUnusedWords(): string[] {
+function listForbiddenWords(): string[] {
   const page = readFileSync(new URL('docs/GLOSSARY.md', ROOT), 'utf8');
   const list = /look[s]? for\s+them\): ([^.]+)\./.exec(page)?.[1] ?? '';
   return list.split(',').map(word => word.replace(/\s+/g, ' ').trim());
 }
 
 test('the code uses none of the words that the glossary replaces', () => {
-  const words = listUnusedWords();
+  const words = listForbiddenWords();
   assert.ok(words.length > 3);
   const pattern = new RegExp(words.map(word => `\\b${word}`).join('|'), 'i');
   const found = readdirSync(new URL('packages', ROOT), {recursive: true})
--- a/scripts/proofs.ts
+++ b/scripts/proofs.ts
@@ -296,7 +296,7 @@
     noticedBy: 'platform/src/whole-path.test.ts',
   },
   {
-    promise: 'the bound on retries is kept over all instances',
+    promise: 'the bound on retries holds across all instances',
     mechanism:
       'an instance uses only part of its burst, as earlier starts may have retried',
     file: 'packages/gateway/src/window-retry-budget.ts',
