--- a/packages/bench/src/relay-main.ts
+++ b/packages/bench/src/relay-main.ts
@@ -8,13 +8,13 @@
 import {NodeHttpClient, readBody, sendJson} from '@hollowstack/transport';
 import type {ConfigObject} from '@hollowstack/types';
 
-// npm run relay: what an entry adds to a direct call of the same stand-in, and
-// the processor time that it spends on a relayed token. The entry, the
-// stand-ins and the callers are processes of their own.
+// npm run relay: measures the latency that an entry adds to a direct call of the
+// same stand-in, and its processor time per relayed token. The entry, the
+// stand-ins and the callers are separate processes.
 const REQUESTS_PER_SECOND = 200;
 const LATENCY_SECONDS = 5;
-const STREAMS = 64;
-const STREAM_TOKENS = 2000;
+const STREAM_COUNT = 64;
+const TOKENS_PER_STREAM = 2000;
 const IDLE_SECONDS = 10;
 
 const fleet = new ProcessFleet({
@@ -24,7 +24,7 @@
   rerankers: 1,
   engines: 2,
   engineArguments: [
-    ...['--max-running', String(STREAMS), '--step-ms', '1'],
+    ...['--max-running', String(STREAM_COUNT), '--step-ms', '1'],
     ...['--per-sequence-ms', '0'],
   ],
 });
@@ -51,7 +51,7 @@
   if (object.kind === 'pool') {
     return {
       ...object,
-      value: {...object.value, concurrencyPerUpstream: STREAMS},
+      value: {...object.value, concurrencyPerUpstream: STREAM_COUNT},
     };
   }
   if (object.kind !== 'workspace') return object;
@@ -63,7 +63,7 @@
       ...chat,
       template: 'long',
       deadlineMs: 60_000,
-      maxTokens: STREAM_TOKENS,
+      maxTokens: TOKENS_PER_STREAM,
     },
   };
   return {...object, value: {...object.value, pipelines}};
@@ -81,8 +81,9 @@
 
 async function measureAddedLatency(caller: SystemCaller): Promise<void> {
   const encoder = fleet.getUpstreams().encode[0].address;
-  const through = () => caller.runPipeline('lima-centro', 'embed', 'hello');
-  const direct = async () => {
+  const callThroughEntry = () =>
+    caller.runPipeline('lima-centro', 'embed', 'hello');
+  const callDirectly = async () => {
     const response = await sendJson(
       client,
       encoder,
@@ -92,9 +93,9 @@
     );
     await readBody(response.body);
   };
-  await runAtRate(through);
-  const directTimes = await runAtRate(direct);
-  const throughTimes = await runAtRate(through);
+  await runAtRate(callThroughEntry);
+  const directTimes = await runAtRate(callDirectly);
+  const throughTimes = await runAtRate(callThroughEntry);
   console.log('| call | p50 ms | p99 ms |\n| --- | --- | --- |');
   for (const [name, times] of [
     ['direct', directTimes],
@@ -111,7 +112,7 @@
   const times = new LatencyHistogram();
   const count = REQUESTS_PER_SECOND * LATENCY_SECONDS;
   const startMs = clock.getNow() + 100;
-  const sending = Array.from(
+  const pendingCalls = Array.from(
     {length: count},
     (_, number) =>
       new Promise<void>((resolve, reject) => {
@@ -125,35 +126,35 @@
         });
       }),
   );
-  await Promise.all(sending);
+  await Promise.all(pendingCalls);
   return times;
 }
 
 async function measureTokens(caller: SystemCaller): Promise<void> {
-  const before = await readProcess(caller);
+  const before = await readProcessMetrics(caller);
   const startedMs = clock.getNow();
   const answers = await Promise.all(
-    Array.from({length: STREAMS}, (_, number) =>
+    Array.from({length: STREAM_COUNT}, (_, number) =>
       caller.runStreamedPipeline('lima-centro', 'long', `stream ${number}`),
     ),
   );
   const seconds = (clock.getNow() - startedMs) / 1000;
-  const after = await readProcess(caller);
-  const whole = answers.filter(({end}) => end !== undefined).length;
-  const tokens = whole * STREAM_TOKENS;
+  const after = await readProcessMetrics(caller);
+  const completeCount = answers.filter(({end}) => end !== undefined).length;
+  const tokens = completeCount * TOKENS_PER_STREAM;
   const processorSeconds = after.processorSeconds - before.processorSeconds;
   console.log(
-    `${whole} of ${STREAMS} streams whole, ${tokens} tokens in ${seconds.toFixed(2)} s`,
+    `${completeCount} of ${STREAM_COUNT} streams complete, ${tokens} tokens in ${seconds.toFixed(2)} s`,
   );
   console.log(
-    `entry: ${((processorSeconds * 1e6) / tokens).toFixed(1)} us of processor a token, that is ${(tokens / processorSeconds).toFixed(0)} tokens/s on one core`,
+    `entry: ${((processorSeconds * 1e6) / tokens).toFixed(1)} us of processor time per token, that is ${(tokens / processorSeconds).toFixed(0)} tokens/s on one core`,
   );
 }
 
 async function measureIdle(caller: SystemCaller): Promise<void> {
-  const before = await readProcess(caller);
+  const before = await readProcessMetrics(caller);
   await new Promise(resolve => setTimeout(resolve, IDLE_SECONDS * 1000));
-  const after = await readProcess(caller);
+  const after = await readProcessMetrics(caller);
   const share =
     (after.processorSeconds - before.processorSeconds) / IDLE_SECONDS;
   console.log(
@@ -161,14 +162,14 @@
   );
 }
 
-async function readProcess(
+async function readProcessMetrics(
   caller: SystemCaller,
 ): Promise<{processorSeconds: number; residentBytes: number}> {
   const text = await caller.readText('/metrics');
-  const find = (name: string) =>
+  const findValue = (name: string) =>
     Number(new RegExp(`^${name} (.+)$`, 'm').exec(text)?.[1]);
   return {
-    processorSeconds: find('process_cpu_seconds_total'),
-    residentBytes: find('process_resident_memory_bytes'),
+    processorSeconds: findValue('process_cpu_seconds_total'),
+    residentBytes: findValue('process_resident_memory_bytes'),
   };
 }
--- a/packages/cli/src/commands/config/history.ts
+++ b/packages/cli/src/commands/config/history.ts
@@ -5,17 +5,17 @@
 
 const historySchema = z.object({changes: z.array(changeRecordSchema)});
 
-/** `hollowstack config history`: who changed what, and when. */
+/** `hollowstack config history`: lists published changes with author and time. */
 export class ConfigHistoryCommand extends OperatorCommand {
   static override paths = [['config', 'history']];
   static override usage = Command.Usage({
     category: 'Configuration',
-    description: 'print the published changes, the newest first',
+    description: 'list the published changes, the newest first',
     examples: [['See who changed what', 'hollowstack config history']],
   });
 
   protected async runCommand(): Promise<number> {
-    const answer = await this.callEntry('GET', 'history');
+    const answer = await this.callInstance('GET', 'history');
     const {changes} = historySchema.parse(answer);
     if (this.json) this.print(JSON.stringify(changes, undefined, 2));
     else for (const change of changes) this.print(formatChange(change));
--- a/packages/cli/src/commands/status/index.ts
+++ b/packages/cli/src/commands/status/index.ts
@@ -3,7 +3,7 @@
 import {OperatorCommand} from '../../operator-command.ts';
 import {formatTable} from '../../format-table.ts';
 
-/** `hollowstack status`: one instance with its upstreams and latencies. */
+/** `hollowstack status`: shows one instance with its upstreams and latencies. */
 export class StatusCommand extends OperatorCommand {
   static override paths = [['status']];
   static override usage = Command.Usage({
@@ -14,7 +14,7 @@
   });
 
   protected async runCommand(): Promise<number> {
-    const status = (await this.callEntry('GET', 'status')) as InstanceStatus;
+    const status = (await this.callInstance('GET', 'status')) as InstanceStatus;
     if (this.json) this.print(JSON.stringify(status, undefined, 2));
     else this.print(formatStatus(status));
     return 0;
