--- a/packages/freshness/src/freshness-guard.test.ts
+++ b/packages/freshness/src/freshness-guard.test.ts
@@ -141,7 +141,7 @@
   assert.equal(await measureRefresh(setup), ANSWER_MS);
 });
 
-test('something unknown is refused for good only if a peer in another failure domain answered', async () => {
+test('with a stale view, something unknown is refused for good only if a peer in another failure domain answered', async () => {
   const expected: ReadonlyArray<[PeerReach, boolean]> = [
     ['none', false],
     ['near', false],
--- a/packages/freshness/src/freshness-guard.ts
+++ b/packages/freshness/src/freshness-guard.ts
@@ -73,8 +73,8 @@
 
   /**
    * Refreshes a stale view, then returns whether a request for something unknown may be
-   * refused for good: the view is fresh, or the refresh reached `far` peers and found no
-   * fresh view.
+   * refused for good: if the view is fresh, or if the last refresh failed although a peer in
+   * another failure domain answered (`far`).
    */
   async mayRefuseUnknown(): Promise<boolean> {
     await this.refresh();
--- a/packages/peers/src/compressed-text.ts
+++ b/packages/peers/src/compressed-text.ts
@@ -18,7 +18,7 @@
  * characters and would gain little.
  */
 const MIN_COMPRESSED_CHARACTERS = 8192;
-/** Compressed texts in the cache: the newest configurations. */
+/** Maximum number of compressed texts in the cache, which holds the newest configurations. */
 const MAX_CACHED_TEXTS = 4;
 /** zlib's fastest level; higher levels take three times as long to save a tenth more. */
 const DEFLATE_LEVEL = 1;
@@ -58,7 +58,7 @@
 /**
  * Restores a text that a peer has sent.
  *
- * @throws FrameError if the bytes are no valid deflate data, or inflate to more than the
+ * @throws FrameError if the bytes are not valid deflate data, or inflate to more than the
  *   maximum size of a frame.
  */
 export function decodeText(text: CompressedText): string {
--- a/packages/peers/src/coordinator.ts
+++ b/packages/peers/src/coordinator.ts
@@ -11,12 +11,13 @@
 const MIN_CORES_RATIO = 0.9;
 
 /**
- * Chooses the instance that decides for all. Of this instance and the confirmed peers,
- * those with the most cores are ranked by rendezvous hashing of their ids, and the first
- * coordinates. The rank depends on nothing that instances learn while they run, so after
- * a loss of all instances each of them expects the same coordinator from its first member
- * list on. Instances that know different peers may choose different coordinators; each of
- * these then decides with less knowledge, and nothing else changes.
+ * Chooses the coordinator, which makes the decisions that concern the whole fleet. Of this
+ * instance and the confirmed peers, those with the most cores are ranked by rendezvous
+ * hashing of their ids, and the first coordinates. The rank does not depend on anything
+ * that instances learn while they run, so after a loss of all instances, each of them
+ * expects the same coordinator as soon as it has read its first member list. Instances that
+ * know different peers may choose different coordinators, each of which then decides on
+ * incomplete information, with no other effect.
  *
  * @returns The coordinator, or undefined if it is this instance.
  */
--- a/packages/peers/src/frames.ts
+++ b/packages/peers/src/frames.ts
@@ -1,4 +1,4 @@
-/** Largest frame that an authenticated peer may send, in bytes. */
+/** Largest payload of a frame from an authenticated peer, in bytes. */
 export const MAX_FRAME_BYTES = 8 * 1024 * 1024;
 /** Bytes of the length prefix of each frame. */
 const LENGTH_BYTES = 4;
--- a/packages/peers/src/membership.ts
+++ b/packages/peers/src/membership.ts
@@ -21,7 +21,7 @@
   timeoutMarginMs: 1000,
 };
 
-/** Milliseconds of a registration's lease by default. */
+/** Default duration of a registration's lease, in milliseconds. */
 const DEFAULT_LEASE_MS = 30_000;
 /** Renewals within the duration of one lease. */
 const RENEWALS_PER_LEASE = 3;
@@ -71,7 +71,10 @@
   private readonly listeners: Array<() => void> = [];
   private readonly task: RepeatingTask;
   private readonly unreachableAtMs = new Map<string, number>();
-  /** Peers that have registered or been in contact since this instance started. */
+  /**
+   * Peers that have registered or been in contact since this instance started, and have
+   * not failed to answer since.
+   */
   private readonly confirmed = new Set<string>();
   private readonly leaseMs: number;
   private leaseId: string | undefined;
@@ -253,7 +256,7 @@
     void this.refresh();
   }
 
-  /** Reads the list from the store; keeps the previous one if the store is away. */
+  /** Reads the list from the store; keeps the previous one if the read fails. */
   async refresh(): Promise<void> {
     const found = await this.parts.store
       .readRange(this.range)
--- a/packages/peers/src/messages.ts
+++ b/packages/peers/src/messages.ts
@@ -158,7 +158,7 @@
     /** Digest of the upstreams that the sender knows. */
     digest: z.string(),
     /**
-     * Whether the sender has just regained the store and still uses upstreams whose
+     * Whether the sender has just reconnected to the store and still uses upstreams whose
      * registrations may have expired in the meantime.
      */
     isProvisional: z.boolean().default(true),
--- a/packages/peers/src/notification-queue.ts
+++ b/packages/peers/src/notification-queue.ts
@@ -21,8 +21,8 @@
 }
 
 /**
- * Milliseconds for which notifications to a peer are collected into a batch. All that a
- * request sends at its first event, and at its end, then takes one message each. Nothing
+ * Milliseconds for which notifications to a peer are collected into a batch. Those of a
+ * request's first event then share one message, and those of its end another. No caller
  * waits for these messages; results only occupy memory that much longer.
  */
 const BATCH_DELAY_MS = 20;
@@ -33,8 +33,8 @@
 
 /**
  * Sends notifications to peers in batches. Each message costs both sides a frame, its
- * authentication tag and a reply: about 0.13 ms of a freshly started process, estimated
- * from a profile of 75 requests.
+ * authentication tag and a reply: about 0.13 ms of CPU time in a freshly started process,
+ * estimated from a profile of 75 requests.
  */
 export class NotificationQueue {
   private readonly parts: NotificationQueueParts;
--- a/packages/peers/src/peer-link.test.ts
+++ b/packages/peers/src/peer-link.test.ts
@@ -19,7 +19,7 @@
 const NEXT_KEY: PeerKey = {id: 'k2', secret: 'second-secret-of-the-test'};
 const TIMEOUT_MS = 2000;
 
-/** TCP streams; those open at a call of silenceOpenStreams stop sending, new ones work. */
+/** TCP network whose open streams can be made to stop sending; streams opened later work. */
 class SilentPeerNetwork extends TcpPeerNetwork {
   connectCount = 0;
   private silentBelow = 0;
@@ -94,7 +94,7 @@
   t.assert.snapshot(reply);
 });
 
-test('a peer with another secret under the same id is refused and counted', async t => {
+test('a peer with another secret under the same key id is refused and counted', async t => {
   const left = await startLink(t, 'left', [{...KEY, secret: 'not-the-secret'}]);
   const right = await startLink(t, 'right', [KEY]);
   await assert.rejects(ask(left, right), {kind: 'peer-refused'});
--- a/packages/peers/src/peer-stream.ts
+++ b/packages/peers/src/peer-stream.ts
@@ -42,7 +42,7 @@
     this.session.sendEnvelope({kind: 'request', id, request});
   }
 
-  /** Resolves the pending request of a reply; ignores replies to requests timed out. */
+  /** Resolves the request that a reply answers; ignores it if the request has timed out. */
   handleReply(id: number, reply: PeerReply): void {
     const pending = this.pending.get(id);
     this.pending.delete(id);
--- a/packages/peers/src/share-allocator.ts
+++ b/packages/peers/src/share-allocator.ts
@@ -32,8 +32,8 @@
 
 /**
  * Divides the limits of the workspaces assigned to this instance among the instances.
- * Its state consists of the reports of the last seconds, so that another instance that
- * takes over a workspace has rebuilt it after one round.
+ * Its state consists of the reports of the last few seconds, so another instance that takes
+ * over a workspace rebuilds it within one round of reports.
  */
 export class ShareAllocator {
   private readonly clock: Clock;
--- a/packages/peers/src/share-client.test.ts
+++ b/packages/peers/src/share-client.test.ts
@@ -10,9 +10,12 @@
 
 const LIMIT = 30;
 const INSTANCES = 9;
-/** Two concurrent requests on each instance, summed over the instances. */
+/** Token buckets of all instances together; at the even share, each holds two requests. */
 const BURST = 2 * INSTANCES;
-/** The limit, the even shares of instances that start while it is granted, the burst. */
+/**
+ * Sum of the limit, which one instance may already use, the even shares of the instances
+ * that start after it, and the burst.
+ */
 const MAX_PER_SECOND_AT_START =
   LIMIT + (LIMIT * (INSTANCES - 1)) / INSTANCES + BURST;
 /** Milliseconds within which the instances of a run start. */
@@ -122,7 +125,7 @@
   }
 }
 
-test('a caller below a third of the limit is never refused, whichever instance it starts on', async t => {
+test('a caller below a third of the limit is never refused while it moves from instance to instance', async t => {
   const {clock, clients} = startFleet(t, INSTANCES);
   const intervalMs = 1000 / (LIMIT / 3);
   for (const client of clients) {
@@ -135,7 +138,7 @@
   }
 });
 
-test('instances that start at random times admit no more than the limit and its burst', async () => {
+test('instances that start at random times exceed the limit by a bounded amount, and after that only by the burst', async () => {
   for (let seed = 1; seed <= 20; seed++) {
     const random = createSeededRandom(seed);
     const clock = new ManualClock();
--- a/packages/peers/src/tcp-peer-network.ts
+++ b/packages/peers/src/tcp-peer-network.ts
@@ -11,10 +11,10 @@
 /** Milliseconds to establish a connection; about a hundred round trips. */
 const CONNECT_TIMEOUT_MS = 1000;
 /**
- * Keep-alive probes of idle streams. The side that accepted a stream sends nothing
- * unasked, and would keep the stream forever after the other side lost power; with the
- * probes, the kernel closes it after 25 s. Requests detect an unresponsive stream much
- * sooner.
+ * Keep-alive probes of idle streams. The side that accepted a stream only sends replies,
+ * and would keep the stream forever after the other side lost power; with the probes, the
+ * kernel closes it after 25 s. The side that sends requests detects an unresponsive stream
+ * much sooner.
  */
 const KEEP_ALIVE = {
   enable: true,
--- a/packages/quarantine/src/verdict-persister.test.ts
+++ b/packages/quarantine/src/verdict-persister.test.ts
@@ -100,7 +100,7 @@
   next.persister.stop();
 });
 
-test('only the coordinator writes a verdict, once, and a fleet without verdicts makes one store call', async () => {
+test('only the coordinator calls the store: once without verdicts, and twice to write one', async () => {
   const clock = new ManualClock(0);
   const store = new KeyStore();
   const instances = [true, false, false].map(isInitialCoordinator =>
@@ -131,7 +131,7 @@
   persister.stop();
 });
 
-test('a verdict that has ended is deleted from the store', async () => {
+test('the verdict of a released request is deleted from the store', async () => {
   const clock = new ManualClock(0);
   const store = new KeyStore();
   const {table, persister} = startInstance(clock, store);
--- a/packages/quarantine/src/verdict-persister.ts
+++ b/packages/quarantine/src/verdict-persister.ts
@@ -12,7 +12,7 @@
   getVerdictKey,
 } from './verdict-plan.ts';
 
-/** Dependencies of VerdictKeeper. */
+/** Dependencies of VerdictPersister. */
 export interface VerdictPersisterParts {
   readonly clock: Clock;
   readonly logger: EventLogger;
@@ -27,12 +27,13 @@
   readonly isCoordinator: () => boolean;
 }
 
-/** Interval at which the store is brought up to date. */
+/** Milliseconds between two updates of the store. */
 const SYNC_INTERVAL_MS = 500;
 
 /**
- * Persists verdicts in the store, so that they survive the loss of all instances. Only the
- * coordinator reads and writes them; other instances receive them from their peers.
+ * Persists verdicts, which are the reports on quarantined requests, in the store, so that
+ * they survive the loss of all instances. Only the coordinator reads and writes them; other
+ * instances receive them from their peers.
  */
 export class VerdictPersister {
   private readonly parts: VerdictPersisterParts;
--- a/packages/store-relay/src/range-mirror.ts
+++ b/packages/store-relay/src/range-mirror.ts
@@ -30,7 +30,7 @@
     return this.revision;
   }
 
-  /** Returns whether the content is known, as it is from the first full read on. */
+  /** Returns whether a full read has been applied, so that the content is known. */
   isComplete(): boolean {
     return this.historyStartRevision !== undefined;
   }
--- a/packages/store-relay/src/range-mirrors.ts
+++ b/packages/store-relay/src/range-mirrors.ts
@@ -10,7 +10,7 @@
 export class RangeMirrors {
   private readonly mirrors = new Map<string, RangeMirror>();
 
-  /** Replaces all mirrors by empty ones. */
+  /** Replaces all mirrors with empty mirrors of the given ranges. */
   replaceRanges(ranges: readonly KeyRange[]): void {
     this.mirrors.clear();
     for (const range of ranges) {
@@ -46,7 +46,7 @@
   }
 
   /**
-   * Returns the revision after which changes of some range are still missing.
+   * Returns the revision after which a watch of all ranges must begin to miss no change.
    *
    * @param startRevision Revision to assume for ranges that have not been read yet.
    */
--- a/packages/store-relay/src/relay-client.ts
+++ b/packages/store-relay/src/relay-client.ts
@@ -19,7 +19,7 @@
   readonly clock: Clock;
   readonly logger: EventLogger;
   readonly link: Pick<PeerLink, 'sendRequest'>;
-  /** Returns the member list; called no earlier than the first request to a peer. */
+  /** Returns the member list; called no earlier than the first choice of a source. */
   readonly getMembers: () => RelayMembers;
   /** Lists the instances that watch the store, as far as this instance knows. */
   readonly listWatchers: () => readonly PeerRecord[];
@@ -47,18 +47,22 @@
 }
 
 /**
- * Fraction of `followWithinMs` for which a peer may hold a poll without changes. An
- * unresponsive peer and the poll of the next one fit in that time.
+ * Fraction of `followWithinMs` for which a peer may hold a poll without changes. A poll of
+ * an unresponsive peer and one of the next peer together fit in `followWithinMs`.
  */
 const LONG_POLL_FRACTION = 0.2;
 /**
  * Fraction of `followWithinMs` after the end of a poll at which the peer counts as
- * unresponsive. Two unresponsive peers and the poll of a third take 0.7 of the time.
+ * unresponsive. Polls of two unresponsive peers take 0.7 of `followWithinMs`; a third peer
+ * then replies at once if it has changes.
  */
 const TIMEOUT_MARGIN_FRACTION = 0.15;
-/** Milliseconds for a full read of ranges: about a hundred round trips, on a slow link. */
+/** Milliseconds for a full read of ranges; about a hundred round trips, for slow links. */
 const READ_TIMEOUT_MS = 500;
-/** Milliseconds for a full read from a peer at the start; after that, the store is read. */
+/**
+ * Milliseconds for a full read from a peer at the start; after that, the next peer or the
+ * store is read.
+ */
 const START_READ_TIMEOUT_MS = 250;
 /** Peers asked at the start before the store is read. */
 const MAX_START_SOURCES = 2;
--- a/packages/store-relay/src/relay-members.ts
+++ b/packages/store-relay/src/relay-members.ts
@@ -8,6 +8,6 @@
   getCached<T>(name: string, compute: () => T): T;
   /** Records that a peer does not answer. */
   recordUnreachable(id: string): void;
-  /** Reads the list from the store; keeps the previous one if the store is away. */
+  /** Reads the list from the store; keeps the previous one if the read fails. */
   refresh(): Promise<void>;
 }
--- a/packages/store-relay/src/relayed-store.test.ts
+++ b/packages/store-relay/src/relayed-store.test.ts
@@ -39,7 +39,7 @@
     .length;
 }
 
-test('three instances of each failure domain watch the store, and changes reach all instances', async t => {
+test('three instances of each failure domain watch the store, and changes reach all without further reads', async t => {
   const {fleet, clock} = await startFleet(t);
   assert.equal(listWatchers(fleet).length, WATCHER_COUNT);
   assert.equal(countWithout(fleet.instances, 'test/a', '1'), 0);
@@ -112,7 +112,7 @@
   assert.equal(countWithout(others, 'test/b', '1'), 0);
 });
 
-test('followers switch to other watchers when the store refuses their own', async t => {
+test('changes still reach followers while the store refuses all watchers of their failure domain', async t => {
   const {fleet, clock} = await startFleet(t);
   const refused = listWatchers(fleet).filter(
     ({failureDomain}) => failureDomain === 'domain-1',
@@ -170,7 +170,7 @@
 /** A link of 7 Mbit/s. */
 const SLOW_LINK_BYTES_PER_MS = 875;
 
-test('a configuration of 600 KB reaches all instances in time over slow links', async t => {
+test('a configuration of over 400 KB reaches all instances in time over slow links', async t => {
   const {fleet, clock} = await startFleet(t);
   fleet.linkBytesPerMs = SLOW_LINK_BYTES_PER_MS;
   const routes = Array.from({length: 1900}, (_, index) => ({
--- a/packages/store-relay/src/relayed-store.ts
+++ b/packages/store-relay/src/relayed-store.ts
@@ -33,8 +33,9 @@
 }
 
 /**
- * Whether this instance can pass changes on to peers: it watches the store, it is meant to
- * watch but the store is away, or it receives the changes from peers itself.
+ * Whether this instance can pass changes on to peers: `watching` if it watches the store,
+ * `away` if it should watch but cannot reach the store, `following` if it receives the
+ * changes from peers itself.
  */
 export type RelayState = 'watching' | 'away' | 'following';
 
@@ -60,7 +61,7 @@
 const AWAY_RETRY_MS = 250;
 /**
  * Milliseconds after a reported outage in which another source's report counts as the same
- * outage; sources reconnect within the 1 s of their own back-off.
+ * outage; each source reconnects to the store within its own back-off of at most 1 s.
  */
 const OUTAGE_REPORT_WINDOW_MS = 5000;
 
@@ -162,7 +163,10 @@
     this.client.refresh();
   }
 
-  /** Adds a function that is called at each change; the returned function removes it. */
+  /**
+   * Adds a function that is called when a watch of the store delivers changes or fails; the
+   * returned function removes it.
+   */
   addChangeListener(listener: () => void): () => void {
     this.changeListeners.add(listener);
     return () => this.changeListeners.delete(listener);
@@ -225,7 +229,8 @@
     }
   }
 
-  // Reads the ranges from a peer, or makes sure that the store answers.
+  // Reads the ranges from a peer; returns undefined if the store must be watched instead.
+  // Reading the member list from the store shows that the store answers.
   private async beginWatch(): Promise<readonly WatchProgress[] | undefined> {
     const {store, memberRange, getMembers} = this.parts;
     this.isRestored = false;
@@ -322,7 +327,7 @@
         continue;
       }
       lastContactAtMs = clock.getNow();
-      // If the watchers cannot reach the store, it is most likely away.
+      // If no watcher can reach the store, this instance most likely cannot either.
       if (isAway && !(await this.isStoreReachable())) continue;
       yield* this.watchStore(signal, clock.getNow() + STORE_FALLBACK_MS);
       return;
--- a/packages/upstream-limits/src/rate-pacer.ts
+++ b/packages/upstream-limits/src/rate-pacer.ts
@@ -5,7 +5,7 @@
 export class RatePacer {
   private lastSendAtMs: number;
 
-  /** @param nowMs Counts as the time of the previous send. */
+  /** @param lastSendAtMs Time of the previous send, or the time to assume if there is none. */
   constructor(nowMs: number) {
     this.lastSendAtMs = nowMs;
   }
--- a/packages/upstream-limits/src/send-limiter.ts
+++ b/packages/upstream-limits/src/send-limiter.ts
@@ -88,7 +88,11 @@
     return this.parts.table.getLimit(upstreamId) !== undefined;
   }
 
-  /** Requests a grant to send one request to one of the upstreams. */
+  /**
+   * Requests a grant to send one request to one of the upstreams.
+   *
+   * @param isProbe Whether the request is a probe; its refusal is neither counted nor logged.
+   */
   async acquireGrant(
     request: GrantRequest,
     isProbe = false,
@@ -157,13 +161,16 @@
     return this.fallback.acquireSend(upstreamId, limit);
   }
 
-  /** Returns an upstream's calls per second; undefined if it has no limit. */
+  /** Returns the calls per second that an upstream's limit allows; undefined without a limit. */
   getCallRate(upstreamId: string): number | undefined {
     const limit = this.parts.table.getLimit(upstreamId);
     return limit === undefined ? undefined : computeGrantedRate(limit);
   }
 
-  /** Returns the milliseconds between releases; undefined if there is no limit. */
+  /**
+   * Returns the milliseconds between releases of stage results at an upstream; undefined if
+   * it has no limit.
+   */
   getReleaseIntervalMs(upstreamId: string): number | undefined {
     const limit = this.parts.table.getLimit(upstreamId);
     return limit === undefined ? undefined : computeReleaseIntervalMs(limit);
--- a/packages/upstream-limits/src/send-queue.test.ts
+++ b/packages/upstream-limits/src/send-queue.test.ts
@@ -120,7 +120,7 @@
   );
 });
 
-test('a workspace that sends twenty times as many requests gets no more than its share', () => {
+test('a workspace gets at least 40 % of the grants beside one that sends twenty times as many requests', () => {
   const {granted} = runQueue(createQueue({u1: 10}), 10_000, nowMs => {
     const requests: GrantRequest[] = [];
     if (nowMs % 10 === 0) requests.push(createRequest({maxWaitMs: 400}));
--- a/packages/upstream-limits/src/send-queue.ts
+++ b/packages/upstream-limits/src/send-queue.ts
@@ -225,7 +225,8 @@
     return count * 2 ** (-(nowMs - atMs) / GRANT_HALF_LIFE_MS);
   }
 
-  // Spaces the retries of refused callers at the granted rate.
+  // Spaces the retries of refused callers at the granted rate. Retries that would exceed the
+  // maximum delay are spread randomly below it.
   private reserveRetry(
     {service, upstreamIds}: GrantRequest,
     availableAtMs: number,
--- a/packages/upstream-signals/src/upstream-signals.test.ts
+++ b/packages/upstream-signals/src/upstream-signals.test.ts
@@ -160,7 +160,7 @@
   }
 });
 
-test('a retry time that is no number of seconds is logged once per upstream, counted and begins no back-off', () => {
+test('a retry time that is not a number of seconds is counted, logged once per upstream and begins no back-off', () => {
   const dateText = 'Fri, 04 Dec 2026 10:00:00 GMT';
   const values = ['', 'soon', dateText, '-3', 'NaN', '3, 5', '1e3', '3s', '+3'];
   const {backOffs, answer, listNames, countSignal} = createSignals();
