--- a/packages/peers/src/coordinator.test.ts
+++ b/packages/peers/src/coordinator.test.ts
@@ -20,7 +20,7 @@
 /** Milliseconds for which a peer that did not answer is left out in these tests. */
 const COOLDOWN_MS = 200;
 
-class EmptyStore extends KeyValueStore {
+class StubStore extends KeyValueStore {
   putCount = 0;
   events: readonly WatchEvent[] = [];
 
@@ -83,7 +83,7 @@
 }
 
 function createMembership(
-  store = new EmptyStore(),
+  store = new StubStore(),
   clock = new ManualClock(),
 ): Membership {
   return new Membership({
@@ -155,7 +155,7 @@
 });
 
 test('only peers that would replace the coordinator are candidates, in order of preference', async () => {
-  const store = new EmptyStore();
+  const store = new StubStore();
   const strong = ['strong-1', 'strong-2', 'strong-3'];
   const [first, second, third] = listByRendezvous('coordinator', strong);
   store.events = [
@@ -176,7 +176,7 @@
 
 test('a peer that did not answer is a candidate again after its cool-down', async () => {
   const clock = new ManualClock();
-  const membership = createMembership(new EmptyStore(), clock);
+  const membership = createMembership(new StubStore(), clock);
   membership.handleEvents([createPut('strong', 3, 2)]);
   membership.recordUnreachable('strong');
   const listIds = () =>
@@ -205,7 +205,7 @@
 });
 
 test('an instance whose registration was deleted registers again, unless it has stopped', async () => {
-  const store = new EmptyStore();
+  const store = new StubStore();
   const membership = createMembership(store);
   const running = membership.start();
   await new Promise(resolve => setImmediate(resolve));
--- a/packages/peers/src/peer-link.test.ts
+++ b/packages/peers/src/peer-link.test.ts
@@ -22,10 +22,11 @@
 /** TCP network whose open streams can be made to stop sending; streams opened later work. */
 class SilentPeerNetwork extends TcpPeerNetwork {
   connectCount = 0;
-  private silentBelow = 0;
+  /** Number of streams, from the first one on, that no longer send. */
+  private silentCount = 0;
 
   silenceOpenStreams(): void {
-    this.silentBelow = this.connectCount;
+    this.silentCount = this.connectCount;
   }
 
   override async connect(address: string): Promise<PeerSocket> {
@@ -33,7 +34,7 @@
     const socket = await super.connect(address);
     return {
       send: bytes => {
-        if (number >= this.silentBelow) socket.send(bytes);
+        if (number >= this.silentCount) socket.send(bytes);
       },
       setDataHandler: handleData => socket.setDataHandler(handleData),
       setCloseHandler: handleClose => socket.setCloseHandler(handleClose),
--- a/packages/quarantine/src/suspect-table.ts
+++ b/packages/quarantine/src/suspect-table.ts
@@ -205,11 +205,11 @@
   private removeExcess(): void {
     while (this.suspects.size > MAX_SUSPECTS) {
       const workspace = findFullestWorkspace([...this.suspects.values()]);
-      const oldest = [...this.suspects.values()]
+      const leastUrgent = [...this.suspects.values()]
         .filter(each => each.workspace === workspace)
         .sort(compareUrgency)
         .at(-1)!;
-      this.suspects.delete(oldest.fingerprint);
+      this.suspects.delete(leastUrgent.fingerprint);
     }
   }
 
--- a/packages/upstream-limits/src/rate-pacer.ts
+++ b/packages/upstream-limits/src/rate-pacer.ts
@@ -6,8 +6,8 @@
   private lastSendAtMs: number;
 
   /** @param lastSendAtMs Time of the previous send, or the time to assume if there is none. */
-  constructor(nowMs: number) {
-    this.lastSendAtMs = nowMs;
+  constructor(lastSendAtMs: number) {
+    this.lastSendAtMs = lastSendAtMs;
   }
 
   /** Returns when the next send is due at a rate, in milliseconds. */
--- a/packages/upstream-signals/src/upstream-signals.test.ts
+++ b/packages/upstream-signals/src/upstream-signals.test.ts
@@ -141,14 +141,17 @@
 });
 
 test('a back-off applies to a restarted upstream only if it was requested after the restart', async () => {
-  for (const isLater of [true, false]) {
+  for (const isRequestedAfterRestart of [true, false]) {
     const {clock, backOffs, answer} = createSignals();
-    if (!isLater) answer({'retry-after': '3'});
+    if (!isRequestedAfterRestart) answer({'retry-after': '3'});
     await clock.advance(100);
     const startedAtMs = clock.getNow();
-    if (isLater) answer({'retry-after': '3'});
+    if (isRequestedAfterRestart) answer({'retry-after': '3'});
     backOffs.replaceIncarnation('u1', 'u1@2', startedAtMs);
-    assert.equal(backOffs.getWaitMs('u1@2'), isLater ? 3000 : 0);
+    assert.equal(
+      backOffs.getWaitMs('u1@2'),
+      isRequestedAfterRestart ? 3000 : 0,
+    );
   }
 });
 
