--- a/packages/peers/src/revision-gossip.ts
+++ b/packages/peers/src/revision-gossip.ts
@@ -16,6 +16,7 @@
   readonly getRevision: () => {revision: number; changeId: string};
   /** Called if a peer has a newer revision, to read it from the store. */
   readonly refresh: () => Promise<void>;
+  /** Puts a snapshot from a peer in force if it is newer than the revision in force. */
   readonly offerSnapshot: (
     snapshot: ConfigurationSnapshot,
     source: string,
--- a/packages/quarantine/src/suspect.ts
+++ b/packages/quarantine/src/suspect.ts
@@ -4,6 +4,7 @@
   readonly upstream: string;
   /** When the request was sent to it, in milliseconds of this instance's clock. */
   readonly sentAtMs: number;
+  /** When the connection of that attempt broke, in milliseconds of this instance's clock. */
   readonly endedAtMs: number;
   /** Whether an upstream has answered the request since, so that it was not the cause. */
   readonly isRefuted: boolean;
--- a/packages/upstream-limits/src/limit-rates.ts
+++ b/packages/upstream-limits/src/limit-rates.ts
@@ -4,11 +4,11 @@
 const FALLBACK_SHARE = 0.2;
 /** Fraction of a limit used for probes while unlimited upstreams are available. */
 const PROBE_SHARE = 0.5;
-/** Minimum probe rate that detects the end of a limit promptly. */
+/** Minimum rate of probes, so that the end of a limit is detected promptly. */
 const PROBES_PER_SECOND = 2;
 /** Minimum rate, so that answers can show the end of a limit near 0. */
 const MIN_PER_SECOND = 0.2;
-/** Fraction of a limit used for releases of stage results. */
+/** Fraction of a limit used for calls that release stage results. */
 const RELEASE_SHARE = 0.25;
 
 /** Returns the requests per second that the coordinator grants under a limit. */
@@ -16,7 +16,7 @@
   return Math.max(MIN_PER_SECOND, GRANTED_SHARE * limit);
 }
 
-/** Returns the total requests per second of all instances without a coordinator. */
+/** Returns the requests per second that all instances together send without a coordinator. */
 export function computeFallbackRate(limit: number): number {
   return Math.max(MIN_PER_SECOND, FALLBACK_SHARE * limit);
 }
