--- a/packages/upstream-limits/src/rate-pacer.ts
+++ b/packages/upstream-limits/src/rate-pacer.ts
@@ -5,9 +5,9 @@
 export class RatePacer {
   private lastSendAtMs: number;
 
-  /** @param nowMs Counts as the time of the previous send. */
-  constructor(nowMs: number) {
-    this.lastSendAtMs = nowMs;
+  /** @param lastSendAtMs Time of the previous send, or the time to assume if there is none. */
+  constructor(lastSendAtMs: number) {
+    this.lastSendAtMs = lastSendAtMs;
   }
 
   /** Returns when the next send is due at a rate, in milliseconds. */
