--- a/packages/pipeline/src/attempt-error.ts
+++ b/packages/pipeline/src/attempt-error.ts
@@ -2,7 +2,7 @@
  * How an attempt failed.
  * refused: no connection was established;
  * not-run: the upstream reports that it did not run the call;
- * silent: no byte arrived within the time-out;
+ * silent: the upstream showed no activity within the timeout;
  * crossed: the response belongs to another attempt;
  * broken: the upstream failed, or the response was cut off or unreadable;
  * given-up: this instance cancelled the attempt.
--- a/packages/pipeline/src/attempt.test.ts
+++ b/packages/pipeline/src/attempt.test.ts
@@ -16,7 +16,7 @@
   body: new Uint8Array(0),
 };
 
-// Time-outs are computed from measured durations, so their fractions may lie
+// Timeouts are computed from measured durations, so their fractions may lie
 // below the resolution of the clock's timestamps.
 const SILENCE_MS = 250.1234;
 
@@ -55,7 +55,7 @@
   );
 }
 
-test('a remaining time-out below the resolution of the clock does not make the check loop forever', async () => {
+test('a remaining timeout below the resolution of the clock does not make the check loop forever', async () => {
   for (let offsetMs = 0.01; offsetMs < 3; offsetMs += 0.0371) {
     const clock = new ManualClock(1_800_000_000_000.3333);
     const client = new QueueClient();
--- a/packages/pipeline/src/attempt.ts
+++ b/packages/pipeline/src/attempt.ts
@@ -37,9 +37,9 @@
 /** HTTP status. */
 const SERVICE_UNAVAILABLE = 503;
 
-/** Connects an attempt with the activity that is recorded for its upstream. */
+/** The activity of an attempt's upstream, as the attempt reads and records it. */
 export interface AttemptMonitor {
-  /** Milliseconds without activity of the upstream after which the attempt is cancelled. */
+  /** Milliseconds after which the attempt is cancelled if its upstream shows no activity. */
   readonly silenceMs: number;
   /** Returns the time of the upstream's last activity, in milliseconds since the epoch. */
   getLastActivityAtMs(): number;
@@ -206,7 +206,7 @@
   }
 }
 
-// An unreadable value counts as no back-off; the refusal itself is logged.
+// An unreadable value counts as no back-off; the refusal itself is recorded as a decision.
 function readRetryAfterMs(headers: HttpHeaders): number | undefined {
   const requestedMs = parseRetryAfterMs(headers[RETRY_AFTER_HEADER] ?? '');
   if (requestedMs === undefined) return undefined;
--- a/packages/pipeline/src/group-directory.ts
+++ b/packages/pipeline/src/group-directory.ts
@@ -12,7 +12,7 @@
 /** What the directory needs beside the configuration. */
 export interface GroupDirectoryOptions {
   readonly instanceId: string;
-  /** Most upstreams of one pool that this instance uses. */
+  /** Maximum number of upstreams of one pool or service that this instance uses. */
   readonly subsetSize: number;
   /** Returns the number of live instances, including this one. */
   readonly getInstanceCount: () => number;
@@ -22,8 +22,8 @@
 }
 
 /**
- * All pools and services by name. A group keeps its state when the
- * configuration changes.
+ * The upstream groups of all pools and services, by name. A group keeps its
+ * state when the configuration changes.
  */
 export class GroupDirectory {
   private readonly clock: Clock;
--- a/packages/pipeline/src/group-runner.ts
+++ b/packages/pipeline/src/group-runner.ts
@@ -22,10 +22,10 @@
  * activity fails.
  */
 const SILENCE_TIMEOUT_FACTOR = 4;
-/** Lower bound in milliseconds of the time-out that adapts to durations. */
+/** Lower bound in milliseconds of the inactivity timeout that is derived from that mean. */
 const MIN_SILENCE_TIMEOUT_MS = 250;
 
-/** Runs the work of a stage, with retries at other upstreams, until one completes it. */
+/** Runs the work of a stage and retries it, preferably at other upstreams, until one completes it. */
 export class GroupRunner {
   private readonly parts: GroupRunnerParts;
 
@@ -278,7 +278,7 @@
       })
       .with('silent', () => {
         // If the upstream reports progress, it is full rather than stuck, so
-        // the time-out does not count against its health.
+        // the timeout does not count against its health.
         if (group.isProgressing(upstream)) group.recordCancelled(upstream);
         else group.recordFailure(upstream, 'broken');
       })
--- a/packages/pipeline/src/group-settings.ts
+++ b/packages/pipeline/src/group-settings.ts
@@ -9,7 +9,7 @@
   readonly slots: number;
   /** Milliseconds one unit of work is expected to take. */
   readonly expectedMs: number;
-  /** Upper bound in milliseconds of an attempt's time-out for inactivity. */
+  /** Upper bound in milliseconds of an attempt's inactivity timeout. */
   readonly silenceMs: number;
 }
 
@@ -30,7 +30,7 @@
 export interface RoutableWork {
   /** Key of the duration estimates; work with the same key takes about the same time. */
   readonly classKey: string;
-  /** Size in units of one expected request; used until durations were measured. */
+  /** Size in units of one expected request; used until durations have been measured. */
   readonly units: number;
   /** Model that the upstream must have loaded; undefined if none is required. */
   readonly model: string | undefined;
--- a/packages/pipeline/src/group-work.ts
+++ b/packages/pipeline/src/group-work.ts
@@ -7,7 +7,7 @@
 import type {RequestContext} from './request-context.ts';
 import type {StageCall} from './stage-call.ts';
 
-/** Optional decisions of a runner; baselines switch them off. */
+/** Optional rules of a runner; benchmarks switch them off to compare results without them. */
 export interface RunnerPolicy {
   /** Refuses work whose predicted finish is after its deadline. */
   readonly refuseDoomed: boolean;
@@ -23,7 +23,10 @@
   readonly metrics: MetricsRegistry;
   readonly logger: EventLogger;
   readonly policy: RunnerPolicy;
-  /** Resolves at once, or after a pause of the process once the list of leaving upstreams was refreshed. */
+  /**
+   * Resolves at once, except after a pause of the process: then once the list of
+   * leaving upstreams was refreshed or the refresh timed out.
+   */
   readonly waitUntilFresh: () => Promise<void>;
 }
 
--- a/packages/pipeline/src/load-poller.ts
+++ b/packages/pipeline/src/load-poller.ts
@@ -14,8 +14,8 @@
 import type {UpstreamGroup} from './upstream-group.ts';
 
 /**
- * Milliseconds for one call to an upstream. A later report no longer describes
- * its current load.
+ * Timeout in milliseconds of one call to an upstream. A report that takes longer
+ * no longer describes the current load.
  */
 const REPORT_TIMEOUT_MS = 800;
 /** HTTP status. */
--- a/packages/pipeline/src/pipeline-runner.ts
+++ b/packages/pipeline/src/pipeline-runner.ts
@@ -137,9 +137,9 @@
 /** Assumed ratio of the full duration of unfinished work to the time it ran. */
 const UNFINISHED_DURATION_FACTOR = 1.3;
 
-// Counts work that exceeded its deadline as well. If only finished work
-// counted, a class that rarely meets its deadline would look as if it always
-// could.
+// Records the duration of work that exceeded its deadline as well. If only
+// completed work counted, a stage that often exceeds the deadline would look as
+// if it always met it.
 function recordUnfinished(
   group: UpstreamGroup,
   stage: Stage,
--- a/packages/pipeline/src/pool-slot-queue.ts
+++ b/packages/pipeline/src/pool-slot-queue.ts
@@ -29,9 +29,12 @@
   timer: Timer | undefined;
 }
 
-// Load reports take about this long to reflect the last change of the limit.
+/**
+ * Milliseconds between two adjustments of the limit; load reports take about
+ * this long to reflect the last one.
+ */
 const SAMPLE_INTERVAL_MS = 1000;
-/** Requests that may wait for one group of upstreams; bounds memory. */
+/** Maximum number of requests that wait for one group of upstreams; bounds memory. */
 const MAX_WAITING_REQUESTS = 2000;
 
 /** Queues work for the concurrency slots that this instance has in one pool. */
@@ -43,11 +46,11 @@
   private readonly counts = new Map<string, number>();
   private inService = 0;
   private sampledAtMs = 0;
-  private wasFull = false;
+  private hadWaitingWork = false;
   private wasRefused = false;
   private reportedQueuedPerSlot = 0;
 
-  /** @param isAdaptive Whether the limit adapts; baselines use a fixed one. */
+  /** @param isAdaptive Whether the limit adapts to the observed load; otherwise only setBounds changes it. */
   constructor(
     clock: Clock,
     options: AdaptiveLimitOptions,
@@ -70,7 +73,7 @@
     return this.limit.getLimit();
   }
 
-  /** Returns how many waiting requests precede a new one of this priority. */
+  /** Returns the number of waiting requests with the same or a higher priority. */
   countAhead(priority: number): number {
     return this.waiting.filter(waiter => waiter.priority <= priority).length;
   }
@@ -121,7 +124,7 @@
     });
   }
 
-  /** Records the requests in the upstreams' own queues, divided by their slots. */
+  /** Records how many requests wait in the upstreams' own queues per slot, according to their load reports. */
   recordReportedQueuedPerSlot(reportedQueuedPerSlot: number): void {
     this.reportedQueuedPerSlot = reportedQueuedPerSlot;
   }
@@ -160,7 +163,7 @@
         DEFAULT_QUEUE_POLICY,
       );
       if (index < 0) {
-        this.wasFull = true;
+        this.hadWaitingWork = true;
         return;
       }
       this.grantSlot(this.waiting[index]);
@@ -196,11 +199,11 @@
     if (nowMs - this.sampledAtMs < SAMPLE_INTERVAL_MS) return;
     this.sampledAtMs = nowMs;
     this.limit.applySample({
-      hadWaitingWork: this.wasFull,
+      hadWaitingWork: this.hadWaitingWork,
       wasRefused: this.wasRefused,
       queuedPerSlot: this.reportedQueuedPerSlot,
     });
-    this.wasFull = false;
+    this.hadWaitingWork = false;
     this.wasRefused = false;
   }
 }
--- a/packages/pipeline/src/request-context.ts
+++ b/packages/pipeline/src/request-context.ts
@@ -11,7 +11,10 @@
   readonly priority: number;
   /** Milliseconds since the epoch. */
   readonly deadlineMs: number;
-  /** Which of the two the workspace prefers if it cannot have both. */
+  /**
+   * Whether the workspace prefers that more requests meet their deadline
+   * (`attainment`) or that less work is spent on late ones (`cost`).
+   */
   readonly objective: 'attainment' | 'cost';
 }
 
--- a/packages/pipeline/src/stage-calls.ts
+++ b/packages/pipeline/src/stage-calls.ts
@@ -21,11 +21,11 @@
 /** HTTP status. */
 const OK = 200;
 /**
- * Characters of input that add one work unit; an assumption that applies until
- * durations were measured.
+ * Characters of input assumed to take as long as one expected request; used
+ * until durations have been measured.
  */
 const CHARACTERS_PER_WORK_UNIT = 2000;
-/** Tokens that the `expectedMs` of a generate pool stands for. */
+/** Number of generated tokens to which the `expectedMs` of a generate pool refers. */
 export const TOKENS_PER_WORK_UNIT = 64;
 const END_MARKER = '[DONE]';
 
@@ -203,8 +203,9 @@
     return Math.max(1, this.pipeline.maxTokens - this.received.length);
   }
 
-  // Drops tokens beyond the limit. They arrive after a stream was cut off right
-  // before its end marker; the caller already has all its tokens then.
+  // Returns whether the end marker has arrived. Drops tokens beyond the limit:
+  // after a stream was cut off between its last token and its end marker, the
+  // resumed call returns tokens that the caller does not need.
   private addBatch(batch: readonly string[]): boolean {
     const tokens: string[] = [];
     let isEnd = false;
--- a/packages/pipeline/src/tracked-upstream.ts
+++ b/packages/pipeline/src/tracked-upstream.ts
@@ -23,7 +23,10 @@
   models: readonly string[] | undefined;
   /** Newest report; undefined before the first one. */
   report: ReceivedReport | undefined;
-  /** Time of the last byte that any attempt of this instance received from it. */
+  /**
+   * Time at which any attempt of this instance last received a byte from it, in
+   * milliseconds since the epoch; 0 before the first byte.
+   */
   lastByteAtMs: number;
   /** Whether the platform's instance list reports it as leaving. */
   isListedLeaving: boolean;
--- a/packages/pipeline/src/upstream-group.test.ts
+++ b/packages/pipeline/src/upstream-group.test.ts
@@ -47,7 +47,7 @@
   return {clock, group, report, isCandidate};
 }
 
-test('an upstream that names a back-off gets no work before it ends, even if it reports to be live', async () => {
+test('an upstream that names a back-off gets no work until the back-off ends, even if it reports that it is live', async () => {
   const {clock, group, report, isCandidate} = createGroup();
   group.recordDispatch('u1');
   group.recordNotRun('u1', 3000);
--- a/packages/pipeline/src/upstream-group.ts
+++ b/packages/pipeline/src/upstream-group.ts
@@ -219,10 +219,10 @@
   }
 
   /**
-   * Records that work did not finish in the available time. If that time is
-   * longer than expected, it raises the upstream's slowness as completed work
-   * does. Otherwise an upstream that is too slow for any deadline would never be
-   * detected.
+   * Records that an attempt was cancelled before its work finished. If the work
+   * has already taken longer than the upstream's slowness explains, it raises
+   * the slowness as completed work does. Otherwise an upstream that is too slow
+   * for any deadline would never be detected.
    */
   recordUnfinished(
     id: string,
@@ -238,7 +238,7 @@
     });
   }
 
-  /** Records that this instance cancelled work, which does not count against the upstream. */
+  /** Records that this instance cancelled work; this does not count against the upstream. */
   recordCancelled(id: string): void {
     this.applyChange(id, tracked => {
       tracked.load = recordCompletion(tracked.load);
