--- a/packages/entry/src/daemon.ts
+++ b/packages/entry/src/daemon.ts
@@ -74,7 +74,7 @@
     return this.parts.dispatcher.handle(request);
   }
 
-  /** Starts all parts and resolves once a configuration is in force, or on a stop before that. */
+  /** Starts all parts and resolves once a configuration is in force or the daemon is stopped. */
   async start(): Promise<void> {
     const {parts} = this;
     const {clock, logger} = parts.environment;
--- a/packages/entry/src/leaving-upstreams.ts
+++ b/packages/entry/src/leaving-upstreams.ts
@@ -2,9 +2,9 @@
 import type {InstanceList} from '@hollowstack/store';
 
 /**
- * Removes upstreams that the platform's instance list reports as leaving from
- * the candidates. The list may be stale, so it never restores one on its own: a
- * fresh load report of the upstream is required as well.
+ * Excludes each upstream from the candidates while the platform's instance list
+ * reports it as leaving. The list may be stale, so it never restores an upstream
+ * on its own: a fresh load report of the upstream is required as well.
  */
 export function followLeavingUpstreams(
   list: InstanceList,
--- a/packages/entry/src/managed-pools.ts
+++ b/packages/entry/src/managed-pools.ts
@@ -4,9 +4,10 @@
 import type {Pool} from '@hollowstack/types';
 
 /**
- * Lists the pools whose models are placed by orders. Omits a pool if this
- * instance uses only a subset of its engines or lacks a report of any: models
- * would be placed on some of the engines only.
+ * Lists the pools whose configuration has a placement, with their engines. Omits
+ * a pool if this instance uses only a subset of its engines or has no load
+ * report from one of them, since models would then be placed on only some of the
+ * engines.
  */
 export function listManagedPools(
   configuration: Configuration | undefined,
--- a/packages/entry/src/pause-guard.ts
+++ b/packages/entry/src/pause-guard.ts
@@ -49,7 +49,8 @@
     });
   }
 
-  // After a pause, the tick may run before the requests that were waiting.
+  // After a pause, the tick may run before the requests that were waiting. It
+  // then starts the refresh instead of hiding the pause from them.
   private recordTick(): void {
     const isPaused = this.clock.getNow() - this.tickedAtMs > PAUSE_THRESHOLD_MS;
     if (isPaused) this.startRefresh();
--- a/packages/entry/src/peer-request-handler.ts
+++ b/packages/entry/src/peer-request-handler.ts
@@ -62,7 +62,7 @@
       .exhaustive();
   }
 
-  /** Returns the revision in force and the id of its change; 0 and empty if none is. */
+  /** Returns the revision in force and the id of its change; 0 and an empty id if none is. */
   getRevision(): {revision: number; changeId: string} {
     const current = this.parts.holder.getCurrent();
     if (!current) return {revision: 0, changeId: ''};
--- a/packages/entry/src/request-dispatcher.ts
+++ b/packages/entry/src/request-dispatcher.ts
@@ -55,7 +55,7 @@
     throw new HollowstackError('not-found', `no such call: ${method} ${path}`);
   }
 
-  // A request ends when the last byte of its response was sent. Unless the
+  // A request ends when the last byte of its response has been sent. Unless the
   // instance is ready, responses close their connection, so that the caller's
   // next request goes to another instance.
   private finishResponse(
--- a/packages/entry/src/request-gate.ts
+++ b/packages/entry/src/request-gate.ts
@@ -9,7 +9,7 @@
   /** Configuration that the request uses until its end. */
   readonly configuration: Configuration;
   readonly workspace: Workspace;
-  /** Releases the request's share of the limits; must be called once it has ended, may be repeated. */
+  /** Releases the request's share of the limits; must be called when the request has ended. Further calls do nothing. */
   end(): void;
 }
 
--- a/packages/entry/src/service-endpoint.ts
+++ b/packages/entry/src/service-endpoint.ts
@@ -249,8 +249,8 @@
     .digest('hex');
 }
 
-// Without its answer, a call that must not be repeated may have run: `ran` is
-// `unknown`, never `yes`.
+// If a call that must not be repeated may have begun but its answer is missing,
+// nothing shows whether it ran: `ran` is `unknown`, never `yes`.
 function applyServiceRunStatus(
   thrown: unknown,
   context: RequestContext,
--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -4,7 +4,7 @@
 import {parseTomlFile} from '@hollowstack/toml-file';
 import {z} from 'zod';
 
-/** Minimum length of a secret in characters; 16 cannot be guessed. */
+/** Minimum length of a secret in characters; 16 random ones cannot be guessed. */
 const MIN_SECRET_LENGTH = 16;
 const secretSchema = z
   .string()
@@ -57,7 +57,7 @@
       receiveMs: z.number().int().positive().default(10_000),
       /** Maximum nesting depth of a JSON body. */
       jsonDepth: z.number().int().positive().default(32),
-      /** Maximum number of upstreams of one pool that this instance uses. */
+      /** Maximum number of upstreams of one pool or service that this instance uses. */
       upstreamSubset: z.number().int().positive().default(24),
       /** Milliseconds between two polls of an upstream's load report. */
       reportPollMs: z.number().positive().default(1000),
@@ -76,9 +76,9 @@
       selector: z.enum(SELECTOR_NAMES).default('predicted-finish'),
       /** Refuses work whose predicted finish is after its deadline. */
       refuseDoomed: z.boolean().default(true),
-      /** Adapts this instance's concurrency limit of each pool to the observed load. */
+      /** Adapts this instance's concurrency limit of each pool and service to the observed load. */
       adaptLimits: z.boolean().default(true),
-      /** Restores an upstream as soon as it answers with a load report; a baseline. */
+      /** Restores an ejected upstream as soon as it reports its load; benchmarks compare it with the default. */
       reportRestores: z.boolean().default(false),
       /** Cancels an attempt early if its upstream is inactive for longer than usual. */
       adaptSilence: z.boolean().default(true),
