--- a/packages/config-log/src/follower.ts
+++ b/packages/config-log/src/follower.ts
@@ -17,7 +17,7 @@
   readStoredSnapshot,
 } from './stored-snapshot.ts';
 
-/** Milliseconds between polls of the head while the watch reports no change. */
+/** Milliseconds between polls of the head, which find changes that the watch misses. */
 const DEFAULT_POLL_MS = 5000;
 /** Largest number of attempts to read a revision; a publish in progress can make one fail. */
 const MAX_READ_ATTEMPTS = 5;
@@ -78,7 +78,7 @@
     if (revision > this.holder.getRevision()) void this.refresh();
   }
 
-  /** Reads the store; a call during a read adds one more read after it. */
+  /** Reads the store; a call during a read starts one more read after the current one. */
   refresh(): Promise<void> {
     this.isRefreshDue = true;
     this.refreshing ??= this.runRefreshes().finally(() => {
@@ -120,7 +120,7 @@
     }
   }
 
-  // A head that is not newer is offered without objects: the holder refuses an
+  // Offers a head that is not newer without its objects: the holder refuses an
   // older or a forked one by the head alone, and logs it.
   private isNewer(head: Head): boolean {
     if (head.revision > this.holder.getRevision()) return true;
--- a/packages/config-log/src/publisher.ts
+++ b/packages/config-log/src/publisher.ts
@@ -37,7 +37,7 @@
 // record that falls out of this range, so that the store does not grow without
 // limit; operators make about 680 changes a day.
 const RETAINED_CHANGES = 1000;
-/** Largest number of attempts, as concurrent changes to other objects make an attempt fail. */
+/** Largest number of attempts; any change that is published meanwhile makes an attempt fail. */
 const MAX_ATTEMPTS = 8;
 /** Milliseconds by which the back-off grows with each attempt. */
 const RETRY_MS = 100;
--- a/packages/config-log/src/stored-snapshot.ts
+++ b/packages/config-log/src/stored-snapshot.ts
@@ -57,7 +57,8 @@
 
 /**
  * Reads the objects that have changed since a snapshot, in one transaction.
- * Resolves to undefined if the head has changed since it was read; read it again then.
+ * Resolves to undefined if the head has changed since it was read; the caller then reads it
+ * again.
  *
  * @param head The newer head, as read from the store.
  */
--- a/packages/store/src/instance-list.ts
+++ b/packages/store/src/instance-list.ts
@@ -22,8 +22,8 @@
 const DEFAULT_POLL_MS = 15_000;
 
 /**
- * Follows the platform's list of instances, which may lag behind; retains the
- * last known list during an outage of the store.
+ * Follows the platform's list of the instances of each group of upstreams. The
+ * list may be stale; during an outage of the store the last known one is retained.
  */
 export class InstanceList implements WatchSubscription {
   readonly range: KeyRange = createPrefixRange(INSTANCE_LIST_PREFIX);
--- a/packages/store/src/key-value-store.ts
+++ b/packages/store/src/key-value-store.ts
@@ -20,15 +20,16 @@
 
 /** How a range is watched if the watch works by long polling. */
 export interface WatchTiming {
-  /** Longest milliseconds that the store waits for a change in one call. */
+  /** Maximum milliseconds that the store waits for a change in one call. */
   readonly waitMs: number;
-  /** Milliseconds from a change to the next call, which then returns several changes. */
+  /** Milliseconds from an answer with changes to the next call, so that its answer combines several changes. */
   readonly batchDelayMs: number;
-  /** Minimum milliseconds from the end of the wait until the call times out. */
+  /** Minimum milliseconds between the end of the wait and the timeout of the call. */
   readonly timeoutMarginMs: number;
   /**
-   * Milliseconds within which the next answer should confirm that all changes are known. The
-   * wait of a call that follows late changes is shortened accordingly. Absent for no limit.
+   * Target for the age in milliseconds of the time up to which all changes are known
+   * (`WatchProgress.knownUntilMs`). The older that time is when a call is sent, the shorter
+   * the call's wait, down to that of a probe. Absent for no target.
    */
   readonly confirmWithinMs?: number;
 }
@@ -95,7 +96,7 @@
 export interface WatchProgress {
   /** First key of the range. */
   readonly start: string;
-  /** Time on the instance's clock, in milliseconds. */
+  /** Time on this instance's clock, in milliseconds since the epoch. */
   readonly knownUntilMs: number;
 }
 
@@ -169,7 +170,8 @@
 
   /**
    * Returns an identifier from the latest answer, which changes when the store is restored
-   * from a backup. Writes made since the backup are then lost and have to be repeated.
+   * from a backup. Writes made since the backup are then lost and have to be repeated. Empty
+   * if the adapter does not detect a restore.
    */
   getHistoryId(): string {
     return '';
--- a/packages/store/src/polled-watch.test.ts
+++ b/packages/store/src/polled-watch.test.ts
@@ -130,7 +130,7 @@
   assert.deepEqual(keys, ['fast/a', 'fast/b']);
 });
 
-test('a call that times out makes the calls of the other ranges repeat as well', async t => {
+test('when a call times out, the calls for the other ranges are repeated as well', async t => {
   const {clock, store, keys} = startWatch(t, [FAST_RANGE, SLOW_RANGE]);
   await clock.advance(100);
   store.silenceCalls();
@@ -215,7 +215,7 @@
   assert.equal(progress.get('fast/'), askedMs);
 });
 
-test('after late changes in a call the next call confirms them within the limit', async t => {
+test('after a change late in the wait of a call, the next call waits shorter, so that completeness is confirmed in time', async t => {
   const confirmWithinMs = 1400;
   const {clock, store, progress} = startWatch(t, [
     {
--- a/packages/store/src/polled-watch.ts
+++ b/packages/store/src/polled-watch.ts
@@ -47,13 +47,13 @@
   timeoutMarginMs: 1000,
 };
 /**
- * Factor from the lateness of the last empty answer to the timeout margin of the
- * next call: a store that becomes slow must not be mistaken for a dead connection.
+ * Ratio of the next call's timeout margin to the lateness of the last empty
+ * answer, so that a store that becomes slow is not mistaken for a dead connection.
  */
 const LATENESS_FACTOR = 3;
 /** Factor by which the timeout margin grows after a call that timed out. */
 const MARGIN_GROWTH_FACTOR = 2;
-/** Largest timeout margin in milliseconds; equals the timeout of other calls. */
+/** Largest timeout margin in milliseconds; equals the default timeout of other store calls. */
 const MAX_MARGIN_MS = 1000;
 /**
  * Milliseconds that the store waits in a call which only checks its connection:
@@ -81,14 +81,14 @@
   }
 }
 
-/** Changes are requested at once. */
+/** The call was cancelled because a refresh requests the changes at once. */
 class RefreshError extends ReplacedCallError {
   constructor() {
     super('changes are requested at once');
   }
 }
 
-/** Why a call is sent; determines how long the store waits. */
+/** Why a call is sent; determines how long the store waits. `heartbeat` is the regular long poll. */
 type CallPurpose = 'heartbeat' | 'probe' | 'refresh';
 
 /** An answer that is queued for the consumer of the watch. */
--- a/packages/store/src/store-era.test.ts
+++ b/packages/store/src/store-era.test.ts
@@ -17,7 +17,7 @@
   assert.deepEqual(splitEraRevision(17), {era: 0, revision: 17});
 });
 
-test('an era that is not a decimal integer in range is ignored', () => {
+test('an era beyond the number of eras wraps around, and one that is not a safe decimal integer is ignored', () => {
   assert.equal(parseEra('12'), 12);
   assert.equal(parseEra('4097'), 1);
   assert.equal(parseEra('9'.repeat(40)), undefined);
--- a/packages/store/src/store-era.ts
+++ b/packages/store/src/store-era.ts
@@ -24,7 +24,7 @@
 }
 
 /**
- * Parses the text of an era; returns undefined unless it is a decimal integer. Eras wrap
+ * Parses the text of an era; returns undefined unless it is a safe decimal integer. Eras wrap
  * around at `ERA_COUNT`, so that stores may start at any number.
  */
 export function parseEra(text: string | undefined): number | undefined {
--- a/packages/store/src/watch-hub.ts
+++ b/packages/store/src/watch-hub.ts
@@ -112,7 +112,7 @@
   }
 
   private startResync(): void {
-    // A single failure means a broken connection; a second one means that the store is unavailable.
+    // A single failure is taken for a broken connection, a second one for an outage of the store.
     const {clock, logger, store} = this.parts;
     const isAfterOutage = this.failures > 1 || store.isAfterOutage();
     const {failures} = this;
@@ -154,8 +154,8 @@
     });
   }
 
-  // Full jitter: after an outage the reconnections of the fleet are spread over the
-  // back-off instead of arriving at once.
+  // The jitter covers the whole back-off, so that the reconnections of the fleet after an
+  // outage spread out instead of arriving at once.
   private computeBackoffMs(): number {
     const {minBackoffMs, maxBackoffMs} = this.backoff;
     const ceiling = Math.min(maxBackoffMs, minBackoffMs * 2 ** this.failures);
