--- a/packages/claims/src/claim-store.ts
+++ b/packages/claims/src/claim-store.ts
@@ -30,8 +30,8 @@
   | {readonly type: 'taken'; readonly claim: HeldClaim};
 
 /**
- * Milliseconds for which claims are retained: 24 h, in which callers may resend
- * a call, and the hour for which a lease is reused.
+ * Milliseconds for which claims are retained: the 24 h within which callers may
+ * resend a call, plus the hour for which a lease is reused.
  */
 const RETENTION_MS = 25 * 60 * 60 * 1000;
 /** Milliseconds for which new claims share a lease before another one is granted. */
@@ -168,8 +168,8 @@
     });
   }
 
-  // All claims of an hour share one lease, so that the store deletes them by
-  // itself a day later at the cost of one call.
+  // All claims of an hour share one lease, so that a single call makes the store
+  // delete them by itself a day later.
   private async getRetentionLease(): Promise<string> {
     const nowMs = this.clock.getNow();
     const current = this.retentionLease;
--- a/packages/claims/src/claimed-calls.ts
+++ b/packages/claims/src/claimed-calls.ts
@@ -50,12 +50,14 @@
   }
 
   /**
-   * Runs a call unless it was claimed before, and returns the answer.
+   * Runs a call unless it was claimed before. Resolves to the answer of the first
+   * run, or to undefined if `runCall` resolved to an outcome without an answer.
    *
    * @param deadlineMs Milliseconds since the epoch.
    * @param runCall Runs the call and resolves to its outcome; must not reject.
-   * @throws HollowstackError `store-unavailable` (not run), `key-reused`,
-   *   `outcome-unknown`, or an error by which `runCall` reports its failure.
+   * @throws HollowstackError `store-unavailable`, `store-restored` or
+   *   `deadline-exceeded` (not run), `key-reused`, `outcome-unknown`, or
+   *   `overloaded` if another resend took over the claim.
    */
   runOnce(
     identity: ClaimIdentity,
@@ -113,7 +115,7 @@
       return (await claims.acquireClaim(identity, giveUpAtMs)).claim;
     } catch (error) {
       if (!(error instanceof HollowstackError)) throw error;
-      // The claim may have been stored or may still be stored. Recording `not-run`
+      // The store may have written the claim, or may do so later. Recording `not-run`
       // lets this instance answer a resend that finds the claim.
       this.recordLocalCall(identity, Promise.resolve({type: 'not-run'}));
       throw new HollowstackError(
--- a/packages/clock/src/suspension-detector.ts
+++ b/packages/clock/src/suspension-detector.ts
@@ -1,10 +1,10 @@
 import type {TimeSources} from './time-sources.ts';
 
-/** Milliseconds between two reads of the wall clock; callers ask for the time far more often. */
+/** Minimum milliseconds between two reads of the wall clock; callers ask for the time far more often. */
 const CHECK_INTERVAL_MS = 5;
 /** Milliseconds by which wall and monotonic clock may diverge before the cause is determined. */
 const MAX_DRIFT_MS = 100;
-/** Milliseconds by which wall and boot-time clock may differ about one suspension. */
+/** Largest difference in milliseconds between the suspensions that wall and boot-time clock show. */
 const MEASUREMENT_TOLERANCE_MS = 100;
 
 /**
--- a/packages/clock/src/waiting.ts
+++ b/packages/clock/src/waiting.ts
@@ -1,7 +1,7 @@
 import type {Clock} from './clock.ts';
 
 /**
- * Resolves after a time; rejects with the signal's reason if it aborts before.
+ * Resolves after a time; rejects with the signal's reason if the signal aborts first.
  *
  * @param durationMs Milliseconds to wait.
  */
--- a/packages/result-checkpoint/src/checkpoint-writer.ts
+++ b/packages/result-checkpoint/src/checkpoint-writer.ts
@@ -18,8 +18,8 @@
 }
 
 /**
- * Milliseconds between two checkpoints. Results exist for about a second, and for half of
- * it their call still runs and they have no handle; each checkpoint costs a call to the store.
+ * Milliseconds between two checkpoints. A result exists for about a second; during the first
+ * half its call still runs and it has no handle. Each checkpoint costs a call to the store.
  */
 const CHECKPOINT_INTERVAL_MS = 400;
 
--- a/packages/result-checkpoint/src/orphan-releaser.ts
+++ b/packages/result-checkpoint/src/orphan-releaser.ts
@@ -53,7 +53,7 @@
 
 /**
  * Releases the results that a lost coordinator tracked for instances that were lost as
- * well. Reads the checkpoints of the others each time this instance becomes the coordinator.
+ * well. Reads all checkpoints but its own each time this instance becomes the coordinator.
  */
 export class OrphanReleaser {
   private readonly parts: OrphanReleaserParts;
