--- a/packages/logger/src/events.ts
+++ b/packages/logger/src/events.ts
@@ -257,7 +257,7 @@
   'domain.returned': {
     number: 617,
     level: 'info',
-    text: 'an evacuated failure domain is back in use; its upstreams get work again and start as cold',
+    text: 'an evacuated failure domain is back in use; its upstreams get work again and are treated as cold at first',
   },
   'domain.unreadable': {
     number: 618,
