--- a/examples/embedded-routing.test.ts
+++ b/examples/embedded-routing.test.ts
@@ -6,7 +6,7 @@
 } from '@hollowstack/local-system';
 import {runEmbedded} from './embedded-routing.ts';
 
-test('an embedding program follows the configuration and makes the same decisions', async t => {
+test('an embedding program reads the configuration, chooses an upstream, judges a deadline and computes shares', async t => {
   const system = new LocalSystem(new LoopbackNetwork(), {
     instances: 1,
     encoders: 1,
--- a/packages/cli/src/commands/config/restore.ts
+++ b/packages/cli/src/commands/config/restore.ts
@@ -4,7 +4,7 @@
 import {Command, Option} from 'clipanion';
 import {OperatorCommand} from '../../operator-command.ts';
 
-/** `hollowstack config restore`: restores the configuration in force to the service. */
+/** `hollowstack config restore`: writes the configuration in force back to the service. */
 export class ConfigRestoreCommand extends OperatorCommand {
   static override paths = [['config', 'restore']];
   static override usage = Command.Usage({
@@ -14,7 +14,7 @@
     details: `
       Use this after the service was restored from an older backup. Instances
       keep the newer configuration in force; this command writes it back as a
-      new revision that is higher than both.
+      new revision, higher than the restored one and the one in force.
     `,
     examples: [['After a restore', 'hollowstack config restore']],
   });
--- a/packages/cli/src/commands/load/index.ts
+++ b/packages/cli/src/commands/load/index.ts
@@ -44,7 +44,7 @@
     description: `policy to run, repeatable: ${POLICY_NAMES.join(', ')}`,
   });
   seeds = Option.Array('--seed', {description: 'seed to run, repeatable'});
-  load = Option.String('--load', {description: 'factor on all arrivals'});
+  load = Option.String('--load', {description: 'factor on all arrival rates'});
   entries = Option.Array('--entry', {
     description: 'loopback address of a running instance, repeatable',
   });
--- a/packages/cli/src/operator-command.ts
+++ b/packages/cli/src/operator-command.ts
@@ -15,11 +15,8 @@
 
 const DEFAULT_ADDRESS = '127.0.0.1:8080';
 const KEY_VARIABLE = 'HOLLOWSTACK_OPERATOR_KEY';
-/**
- * Time-out for an operator's call; high enough for a publish to a slow store.
- */
+/** Time-out for an operator's call; high enough for a publish to a slow store. */
 const TIMEOUT_MS = 30_000;
-/** HTTP status. */
 const OK_STATUS = 200;
 
 /** A command that calls the operator API of a running instance. */
@@ -38,7 +35,8 @@
   /**
    * Sends an operator's call and resolves to its parsed answer.
    *
-   * @throws HollowstackError `not-ready` without an answer, else of the answer's kind.
+   * @throws HollowstackError `not-ready` if no answer arrives; for an error answer, of its
+   *   kind.
    */
   protected async callInstance(
     method: string,
--- a/packages/cli/src/reporting-command.ts
+++ b/packages/cli/src/reporting-command.ts
@@ -20,7 +20,7 @@
         thrown.kind === 'configuration-invalid' ||
         thrown.kind === 'bad-request';
       const advice = isInputError
-        ? 'Mend that and run the same command again.\n'
+        ? 'Correct the input and run the same command again.\n'
         : '';
       this.context.stderr.write(`${thrown.message}\n${advice}`);
       return isInputError ? BAD_INPUT_EXIT_CODE : FAILED_EXIT_CODE;
--- a/scripts/proofs.test.ts
+++ b/scripts/proofs.test.ts
@@ -5,8 +5,8 @@
 import {formatCollapsed} from './collapsed-source.ts';
 import {PROOFS, type Proof} from './proofs.ts';
 
-// A quote that is not in its file switches nothing off: the proof stops before
-// it runs a test, and the mechanism is unproved.
+// A quote that is not in its file leaves the mechanism enabled: prove-proofs stops with
+// an error before it runs the check, and the mechanism stays unproved.
 test('the source line that each proof quotes is in its file', () => {
   const missing = PROOFS.filter(proof => !isQuoteFound(proof));
   assert.deepEqual(
--- a/scripts/proofs.ts
+++ b/scripts/proofs.ts
@@ -31,7 +31,8 @@
   },
   {
     promise: 'at most once',
-    mechanism: 'a store that was restored from a backup is noticed by its id',
+    mechanism:
+      'a store that was restored from a backup is recognized by its id',
     file: 'packages/store/src/store-identity.ts',
     from: 'if (storeId === this.verifiedId) return;',
     to: 'if (storeId !== this.verifiedId) return;',
@@ -39,7 +40,7 @@
   },
   {
     promise: 'not run means not run',
-    mechanism: 'ran: no is said only where no attempt may have begun',
+    mechanism: 'ran: no is answered only if no attempt can have started',
     file: 'packages/entry/src/request-scope.ts',
     from: "const ran = context.mayHaveRun() ? ranIfBegun : 'no';",
     to: "const ran = ranIfBegun === 'yes' ? 'no' : ranIfBegun;",
@@ -120,7 +121,7 @@
   },
   {
     promise: 'an accepted configuration is in force everywhere',
-    mechanism: 'a publish is written only on top of the head it was planned on',
+    mechanism: 'a publish is written only if the head is still the one it read',
     file: 'packages/config-log/src/publisher.ts',
     from: '{key: HEAD_KEY, modRevision: stored.headModRevision},',
     to: '',
@@ -257,7 +258,7 @@
   },
   {
     promise: 'no final decision is based on a stale view of the store',
-    mechanism: 'a new watch proves nothing before its full read',
+    mechanism: 'a new watch does not confirm the view before its full read',
     file: 'packages/gateway/src/store-follower.ts',
     from: 'if (!this.isReadDue) this.parts.handleKnownUntil(this.knownUntilMs);',
     to: 'this.parts.handleKnownUntil(this.knownUntilMs);',
@@ -289,7 +290,8 @@
   },
   {
     promise: 'no work is done for a caller that has disconnected',
-    mechanism: 'the connection to the upstream is closed with the caller’s',
+    mechanism:
+      'when the caller disconnects, the connection to the upstream is closed',
     file: 'packages/gateway/src/attempt.ts',
     from: "request.signal.addEventListener('abort', cancelCall, {once: true});",
     to: '',
@@ -322,7 +324,8 @@
   },
   {
     promise: 'a request that crashes upstreams is not sent to further ones',
-    mechanism: 'requests that ran beside it are not suspected',
+    mechanism:
+      'the crash of an upstream that ran a quarantined request does not count against others',
     file: 'packages/quarantine/src/suspect-table.ts',
     from: 'return countSequentialCrashes(crashes, new Set(explained));',
     to: 'return countSequentialCrashes(crashes, new Set(explained.slice(0, 0)));',
--- a/scripts/prove-proofs.ts
+++ b/scripts/prove-proofs.ts
@@ -18,17 +18,17 @@
 // Disables each mechanism in a scratch copy and checks that the fuzz run or test
 // of its proof fails. A mechanism whose absence no check detects is not proved.
 const root = fileURLToPath(new URL('..', import.meta.url));
-/** Without its mechanism, a test may wait forever. */
+/** A time-out, since a test may wait forever once its mechanism is disabled. */
 const TEST_TIMEOUT = '--test-timeout=60000';
 const RUNS = process.argv[2] ?? '1200';
-const PROMISE_LINE = /\[cause\]: Error: ([^:]+(: no)?[^:]*):/;
+const INVARIANT_LINE = /\[cause\]: Error: ([^:]+(: no)?[^:]*):/;
 
 const FAILED_TEST_LINE = /^✖ (.+?) \(/m;
 
 interface Verdict {
   readonly proof: Proof;
-  /** The broken promise or failed test that was reported; undefined if none was. */
-  readonly broken: string | undefined;
+  /** The violated invariant or failed test; undefined if the check passed. */
+  readonly failedCheck: string | undefined;
 }
 
 const SELECTED = process.argv[3] ?? '';
@@ -39,23 +39,23 @@
   {length: Math.max(1, availableParallelism() - 1)},
   async () => {
     for (let proof = queue.shift(); proof; proof = queue.shift()) {
-      const broken = await runWithout(proof);
-      verdicts.push({proof, broken});
-      const result = broken ? `fails: ${broken}` : 'NOT NOTICED';
+      const failedCheck = await runWithoutMechanism(proof);
+      verdicts.push({proof, failedCheck});
+      const result = failedCheck ? `fails: ${failedCheck}` : 'NOT NOTICED';
       console.log(`${proof.promise} | ${proof.mechanism} | ${result}`);
     }
   },
 );
 await Promise.all(workers);
-const unnoticed = verdicts.filter(({broken}) => broken === undefined);
+const unnoticed = verdicts.filter(({failedCheck}) => failedCheck === undefined);
 console.log(`${verdicts.length} mechanisms, ${unnoticed.length} not noticed`);
 process.exitCode = unnoticed.length === 0 ? 0 : 1;
 
-async function runWithout(proof: Proof): Promise<string | undefined> {
+async function runWithoutMechanism(proof: Proof): Promise<string | undefined> {
   const scratch = createScratchCopy();
   try {
     applyChange(scratch, proof);
-    return await runNoticing(scratch, proof.noticedBy);
+    return await runCheck(scratch, proof.noticedBy);
   } finally {
     rmSync(scratch, {recursive: true, force: true});
   }
@@ -85,18 +85,19 @@
   return scratch;
 }
 
-// Line breaks are the formatter's; a change is found wherever it puts them.
+// Compares and replaces collapsed text, so that a quote matches however the formatter
+// breaks its lines.
 function applyChange(scratch: string, {file, from, to}: Proof): void {
   const path = join(scratch, file);
   const before = readFileSync(path, 'utf8');
   const collapsed = formatCollapsed(before);
   if (!collapsed.includes(formatCollapsed(from))) {
-    throw new Error(`${file} no longer holds: ${from}`);
+    throw new Error(`${file} no longer contains: ${from}`);
   }
   writeFileSync(path, collapsed.replace(formatCollapsed(from), to));
 }
 
-function runNoticing(
+function runCheck(
   scratch: string,
   noticedBy: number | string,
 ): Promise<string | undefined> {
@@ -116,13 +117,13 @@
       {cwd: scratch, maxBuffer: 64 * 1024 * 1024},
       (error, stdout, stderr) => {
         if (!error) resolve(undefined);
-        else resolve(findPromise(stdout + stderr));
+        else resolve(findFailedCheck(stdout + stderr));
       },
     );
   });
 }
 
-function findPromise(output: string): string {
-  const found = PROMISE_LINE.exec(output) ?? FAILED_TEST_LINE.exec(output);
+function findFailedCheck(output: string): string {
+  const found = INVARIANT_LINE.exec(output) ?? FAILED_TEST_LINE.exec(output);
   return found?.[1] ?? output.slice(-300);
 }
--- a/scripts/run-tests.ts
+++ b/scripts/run-tests.ts
@@ -16,7 +16,7 @@
   if (!existsSync(KNOWN_RED_FILE)) return [];
   const lines = readFileSync(KNOWN_RED_FILE, 'utf8').split('\n');
   const known = lines.filter(line => line.trim() !== '');
-  for (const line of known) console.log(`known red, passed over: ${line}`);
+  for (const line of known) console.log(`known failure, skipped: ${line}`);
   return known.map(line => line.split(' | ')[0].trim());
 }
 
@@ -26,8 +26,8 @@
 }
 
 function runTests(): Promise<number> {
-  const mayPass = process.argv.includes('--pass-known-red');
-  const skipped = mayPass ? listKnownRed().map(createSkipOption) : [];
+  const skipsKnownRed = process.argv.includes('--pass-known-red');
+  const skipped = skipsKnownRed ? listKnownRed().map(createSkipOption) : [];
   const child = spawn(process.execPath, ['--test', ...skipped, ...TEST_FILES], {
     stdio: 'inherit',
   });
