--- a/packages/bench/src/scenario-faults.ts
+++ b/packages/bench/src/scenario-faults.ts
@@ -59,8 +59,8 @@
     );
   }
 
-  // The entry instances of a failure domain are killed as well; callers' requests
-  // to them break, as they do until the platform's balancer detects the failure.
+  // The entry instances of a failure domain are killed as well: their requests in
+  // progress break, and later ones go to the remaining instances.
   private killTargets(fault: ScenarioFault): void {
     const instances = this.system.instances.filter(
       ({id, settings}) =>
--- a/packages/bench/src/scenario.ts
+++ b/packages/bench/src/scenario.ts
@@ -71,10 +71,11 @@
   /** Name of a process (`engine-3`, `entry-1`, `platform`) or of a failure domain (`domain-a`). */
   target: z.string(),
   /**
-   * slow, wedged, failing, cutting and leaving apply to upstreams; killed to any
-   * process or to a failure domain; down to the platform's service; isolated to an
-   * entry instance, which is cut off from its peers; cold to engines, which lose
-   * their caches.
+   * slow, wedged, failing, cutting and leaving apply to an upstream or to all of a
+   * failure domain; killed to an upstream, an entry instance or a failure domain; and
+   * isolated to an entry instance, which is cut off from its peers. down and cold
+   * ignore the target: down applies to the platform's service, and cold to all engines,
+   * which lose their caches. FaultSetting of the stand-ins describes the other kinds.
    */
   kind: z.enum([
     'slow',
@@ -103,8 +104,9 @@
   policies: z.array(z.enum(POLICY_NAMES)).min(1).default(['hollowstack']),
   /** Factor on the arrival rates of all classes. */
   load: z.number().positive().default(1),
-  /** One-way latency between processes; callers have their own below. */
+  /** One-way milliseconds between processes, except to and from callers. */
   latencyMs: z.number().nonnegative().default(0.3),
+  /** One-way milliseconds between callers and entry instances. */
   callerLatencyMs: z.number().nonnegative().default(2),
   pools: z.strictObject({
     encode: poolSchema,
--- a/packages/decisions/src/decision-log.ts
+++ b/packages/decisions/src/decision-log.ts
@@ -11,12 +11,12 @@
   readonly decisions: Decision[];
 }
 
-/** Stores the decisions about the newest requests and evicts the oldest over its capacity. */
+/** Stores the decisions about the newest requests and evicts the oldest beyond its capacity. */
 export class DecisionLog {
   private readonly capacity: number;
   private readonly requests = new Map<string, RequestDecisions>();
 
-  /** @param capacity Most requests to store. */
+  /** @param capacity Maximum number of requests stored. */
   constructor(capacity = 2000) {
     this.capacity = capacity;
   }
--- a/packages/fuzz/src/main.ts
+++ b/packages/fuzz/src/main.ts
@@ -22,5 +22,5 @@
 });
 const seconds = ((performance.now() - startedAtMs) / 1000).toFixed(1);
 console.log(
-  `${report.runs} runs, ${report.commands} commands, ${report.requests} requests in ${seconds} s: every promise kept`,
+  `${report.runs} runs, ${report.commands} commands, ${report.requests} requests in ${seconds} s: every invariant holds`,
 );
--- a/packages/fuzz/src/oracle.ts
+++ b/packages/fuzz/src/oracle.ts
@@ -13,7 +13,7 @@
 const TOKENS = {chat: 24, summary: 120};
 /** Milliseconds after its deadline by which a caller must have its final answer. */
 const ANSWER_MARGIN_MS = 300;
-/** Milliseconds after it was listed as leaving from which an upstream must get no new work. */
+/** Milliseconds after an upstream is listed as leaving in which it may still get work. */
 const LEAVING_MARGIN_MS = 3000;
 
 /** Compares the outcomes of requests with the work logs of the stand-ins; returns all violations. */
--- a/packages/fuzz/src/sent-request.ts
+++ b/packages/fuzz/src/sent-request.ts
@@ -26,7 +26,7 @@
   readonly controller: AbortController;
   /** Whether the caller disconnected before it had an answer. */
   isCallerDisconnected: boolean;
-  /** Whether the instance was paused or dead at the start, or killed or paused before the outcome. */
+  /** Whether the instance was not running at the start, or was killed or paused before the outcome. */
   isInstanceFaulted: boolean;
   outcome: Outcome | undefined;
   settledAtMs: number;
--- a/packages/transport/src/event-stream.ts
+++ b/packages/transport/src/event-stream.ts
@@ -4,7 +4,7 @@
 
 /**
  * Yields the data of server-sent events. The events of one chunk are yielded together,
- * so that a relay takes one step per chunk. Fields other than `data` are ignored.
+ * so that a relay resumes once per chunk. Fields other than `data` are ignored.
  */
 export async function* readServerSentEvents(
   body: AsyncIterable<Uint8Array>,
--- a/packages/transport/src/node-http-server.ts
+++ b/packages/transport/src/node-http-server.ts
@@ -88,7 +88,7 @@
     });
   }
 
-  /** Stops listening and closes all connections at once, whatever they carry. */
+  /** Stops listening and closes all connections immediately, even during a request. */
   closeAllConnections(): void {
     this.server.close();
     this.server.closeAllConnections();
--- a/packages/transport/src/single-call.ts
+++ b/packages/transport/src/single-call.ts
@@ -100,8 +100,8 @@
   /** Closes the connection immediately. */
   cancel(reason: string): void {
     this.isCancelled = true;
-    // After a complete answer no error is needed; its stack trace alone took 3 %
-    // of the processor time of a streamed request (first 75 of a process).
+    // After a complete answer no error is needed; its stack trace alone took 3 % of the
+    // processor time of a streamed request (measured over a process's first 75 requests).
     const isComplete = this.incoming?.complete === true;
     this.outgoing.destroy(isComplete ? undefined : new Error(reason));
   }
@@ -134,7 +134,7 @@
   return Buffer.concat(chunks, size);
 }
 
-/** Error codes of the system for a connection that the other side closed. */
+/** System error codes for a connection that the other side closed. */
 const CONNECTION_LOST_CODES: ReadonlySet<string> = new Set([
   'ECONNRESET',
   'EPIPE',
--- a/packages/types/src/objects.ts
+++ b/packages/types/src/objects.ts
@@ -22,7 +22,6 @@
 export const upstreamSchema = z.strictObject({
   id: nameSchema,
   address: addressSchema,
-  /** Failure domain. */
   failureDomain: nameSchema,
   /** Whether the upstream checks the fencing token of placement orders. */
   checksFence: z.boolean().default(false),
--- a/packages/types/src/stage-job.ts
+++ b/packages/types/src/stage-job.ts
@@ -82,8 +82,9 @@
     address: z.string(),
     service: z.string(),
   }),
-  /** Milliseconds since the call was sent, and since its connection broke. */
+  /** Milliseconds since the call was sent. */
   sentAgoMs: z.number(),
+  /** Milliseconds since its connection broke. */
   endedAgoMs: z.number(),
 });
 /** A call whose connection broke; the call may have crashed its upstream. */
