--- a/packages/bench/src/scenario.ts
+++ b/packages/bench/src/scenario.ts
@@ -75,7 +75,8 @@
    * failure domain; killed to an upstream, an entry instance or a failure domain; and
    * isolated to an entry instance, which is cut off from its peers. down and cold
    * ignore the target: down applies to the platform's service, and cold to all engines,
-   * which lose their caches. FaultSetting of the stand-ins describes the other kinds.
+   * which lose their caches. faultSettingSchema of the stand-ins describes wedged,
+   * failing, cutting and leaving.
    */
   kind: z.enum([
     'slow',
