--- a/packages/process-fleet/src/rolling-replacement.test.ts
+++ b/packages/process-fleet/src/rolling-replacement.test.ts
@@ -3,7 +3,7 @@
 import {LoadLoop, ProcessFleet, type EntryProcess} from './index.ts';
 
 const CALLERS = 8;
-const ANSWERS_BETWEEN = 20;
+const ANSWERS_BETWEEN_REPLACEMENTS = 20;
 
 test('a rolling replacement under load interrupts no request and each instance exits with 0', async t => {
   const fleet = new ProcessFleet({
@@ -22,7 +22,7 @@
     () => inRotation[nextIndex++ % inRotation.length].caller,
   );
   for (const entry of [...fleet.entries]) {
-    await loop.waitForAnswers(ANSWERS_BETWEEN);
+    await loop.waitForAnswers(ANSWERS_BETWEEN_REPLACEMENTS);
     inRotation.push(await startReadyEntry(fleet));
     entry.process.send('SIGTERM');
     // The load balancer lags: it keeps sending until one of its readiness probes fails.
@@ -34,7 +34,7 @@
   await loop.stop();
   assert.deepEqual(loop.failures, []);
   assert.equal(loop.counts.interrupted, 0);
-  assert.ok(loop.counts.answered >= 4 * ANSWERS_BETWEEN);
+  assert.ok(loop.counts.answered >= 4 * ANSWERS_BETWEEN_REPLACEMENTS);
 });
 
 async function isReady({caller}: EntryProcess): Promise<boolean> {
