--- a/packages/local-system/src/memory-network.ts
+++ b/packages/local-system/src/memory-network.ts
@@ -72,7 +72,7 @@
       simulatedProcess.kill();
   }
 
-  /** Returns the process of a name; creates a new one if there is none or if it was killed. */
+  /** Returns the process with a name; creates a new one if there is none or if it was killed. */
   getProcess(name: string): SimulatedProcess {
     let simulatedProcess = this.processes.get(name);
     if (!simulatedProcess || simulatedProcess.isDead()) {
--- a/packages/process-fleet/src/load-loop.ts
+++ b/packages/process-fleet/src/load-loop.ts
@@ -2,7 +2,9 @@
 
 /** Counts of the outcomes of a loop's requests. */
 export interface LoopCounts {
+  /** Requests answered with status 200. */
   answered: number;
+  /** Requests answered with any other status. */
   refused: number;
   /** Requests whose connection broke before the answer was complete. */
   interrupted: number;
@@ -28,7 +30,7 @@
     );
   }
 
-  /** Resolves once `count` further requests have been answered. */
+  /** Resolves once `count` further requests have been answered with status 200. */
   async waitForAnswers(count: number): Promise<void> {
     const targetCount = this.counts.answered + count;
     while (this.counts.answered < targetCount) {
--- a/packages/stand-ins/src/handler-stand-in.ts
+++ b/packages/stand-ins/src/handler-stand-in.ts
@@ -21,7 +21,7 @@
     return this.handleWork(request);
   }
 
-  /** Answers a request that is not a control call. */
+  /** Answers a request that is neither a control call nor a health check. */
   protected abstract handleWork(request: HttpRequest): Promise<HttpResponse>;
 
   /** Creates the header that echoes the attempt id; a different id in mode `crossed`. */
--- a/packages/stand-ins/src/platform-stand-in.ts
+++ b/packages/stand-ins/src/platform-stand-in.ts
@@ -24,7 +24,7 @@
 export const platformFaultsSchema = z.object({
   /** Rejects every call as if the connection was refused. */
   isDown: z.boolean().default(false),
-  /** Milliseconds by which answers other than watches are delayed. */
+  /** Milliseconds by which calls other than watches are delayed before they take effect. */
   delayMs: z.number().default(0),
   /** Number of upcoming answers to drop after their calls took effect; each drop decrements it. */
   lostReplies: z.number().default(0),
@@ -136,7 +136,7 @@
   /**
    * Answers one call.
    *
-   * @throws TransportError if the service is down or the answer is to be lost.
+   * @throws TransportError if the service is down or the answer is dropped.
    */
   async handle(request: HttpRequest): Promise<HttpResponse> {
     if (request.path === CONTROL_PATH) return this.handleControl(request);
--- a/packages/stand-ins/src/work-log.ts
+++ b/packages/stand-ins/src/work-log.ts
@@ -10,7 +10,7 @@
   outcome: 'running' | 'finished' | 'cancelled';
 }
 
-// Bounds memory in long load runs: older records are dropped, the totals still count them.
+// Bounds memory in long load runs: the oldest records are dropped, but still count in the totals.
 const MAX_RECORDS = 50_000;
 
 /** The work that a stand-in has started; test oracles compare it with the answers to callers. */
