--- a/packages/local-system/src/memory-network.ts
+++ b/packages/local-system/src/memory-network.ts
@@ -117,7 +117,7 @@
     this.peerMessages += 1;
   }
 
-  /** Returns the totals of peer traffic sent so far, in one direction per message. */
+  /** Returns the totals of peer traffic sent so far; each message is counted once. */
   getPeerTraffic(): {readonly bytes: number; readonly messages: number} {
     return {bytes: this.peerBytes, messages: this.peerMessages};
   }
--- a/packages/stand-ins/src/fault-switch.ts
+++ b/packages/stand-ins/src/fault-switch.ts
@@ -20,7 +20,7 @@
       'truncating',
     ])
     .default('ok'),
-  /** Multiplier of every duration. */
+  /** Multiplier of the durations of work. */
   slowFactor: z.number().positive().default(1),
 });
 /** Fault mode and slow-down of a stand-in. */
