--- a/packages/local-system/src/memory-network.ts
+++ b/packages/local-system/src/memory-network.ts
@@ -72,7 +72,7 @@
       simulatedProcess.kill();
   }
 
-  /** Returns the process of a name; creates a new one if there is none or if it was killed. */
+  /** Returns the process with a name; creates a new one if there is none or if it was killed. */
   getProcess(name: string): SimulatedProcess {
     let simulatedProcess = this.processes.get(name);
     if (!simulatedProcess || simulatedProcess.isDead()) {
@@ -117,7 +117,7 @@
     this.peerMessages += 1;
   }
 
-  /** Returns the totals of peer traffic sent so far, in one direction per message. */
+  /** Returns the totals of peer traffic sent so far; each message is counted once. */
   getPeerTraffic(): {readonly bytes: number; readonly messages: number} {
     return {bytes: this.peerBytes, messages: this.peerMessages};
   }
